--- a/crates/bench/src/costs.rs
+++ b/crates/bench/src/costs.rs
@@ -4,7 +4,7 @@
 use shaleline_border::{CacheEvents, UpstreamReport};
 use shaleline_config::{Change, ConfigMachine, Op};
 use shaleline_lease::LeaseBody;
-use shaleline_log::{AppendBudget, Appended, Machine, Priority, Replica};
+use shaleline_log::{AppendBudget, AppendOutcome, Priority, Replica, StateMachine};
 use shaleline_once::{KeptAnswer, OnceBody, OnceKey, OnceMachine};
 use shaleline_place::{
     CellBody, CellMachine, Demand, EngineReport, EngineView, Item, Plan, Planner, Policy, Resident,
@@ -33,7 +33,7 @@
 }
 
 /// Applies records through a replica, as a daemon does.
-fn append<M: Machine>(replica: &mut Replica<M>, bodies: Vec<M::Body>) -> usize {
+fn append<M: StateMachine>(replica: &mut Replica<M>, bodies: Vec<M::Body>) -> usize {
     let mut budget = AppendBudget::new(1_000_000, Millis(0));
     let mut bytes = 0;
     let mut pending = bodies.into_iter().peekable();
@@ -45,10 +45,10 @@
         if let Some(batch) = replica.next_append(now, now, &mut budget) {
             bytes += batch.iter().map(String::len).sum::<usize>();
             let at = replica.next();
-            replica.on_append(now, Appended::At(at));
+            replica.on_append(now, AppendOutcome::At(at));
         }
     }
-    replica.take_done();
+    replica.take_committed();
     bytes
 }
 
@@ -96,7 +96,7 @@
             let org = open_org(&format!("org-{i}")).expect("the name is valid");
             let base = replica
                 .machine()
-                .base(&format!("organisation/{}", org.name));
+                .current_version(&format!("organisation/{}", org.name));
             bodies.push(change(number, base, Op::PutOrganisation(org)));
         }
         append(&mut replica, bodies);
@@ -127,7 +127,7 @@
 
 /// What a state takes in memory: several copies, so that the allocator's own pages do
 /// not count for much.
-fn memory_of<M: Machine>(replica: &Replica<M>) -> f64 {
+fn memory_of<M: StateMachine>(replica: &Replica<M>) -> f64 {
     const COPIES: usize = 4;
     let snapshot = replica.to_snapshot();
     let before = resident_kb();
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -27,7 +27,7 @@
 pub fn run(args: &FaultArgs) -> Result<bool> {
     if args.list {
         for safeguard in Safeguard::ALL {
-            println!("{:<16} {}", safeguard.as_str(), safeguard.meaning());
+            println!("{:<16} {}", safeguard.as_str(), safeguard.description());
         }
         return Ok(true);
     }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_lease::LeaseBody;
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_place::{
     CellBody, CellMachine, Demand, Dispatcher, EngineReport, EngineView, Item, Plan, Policy, Want,
     Wanted,
--- a/crates/config/src/machine.rs
+++ b/crates/config/src/machine.rs
@@ -3,7 +3,7 @@
 use crate::check::{check_fleet, check_template, check_whole};
 use crate::{Change, Fleet, Op, Operator, Organisation, Refusal, Template, Tenant, Verdict};
 use serde::{Deserialize, Serialize};
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_types::{
     ChangeId, ErrorKind, Offset, Org, Safeguard, TemplateName, TokenHash, WriterId,
 };
@@ -102,13 +102,13 @@
 
     /// The verdict on a change that was judged earlier.
     #[must_use]
-    pub fn judged(&self, id: &ChangeId) -> Option<&Verdict> {
+    pub fn verdict_of(&self, id: &ChangeId) -> Option<&Verdict> {
         self.changes.get(id).map(|j| &j.verdict)
     }
 
     /// The version that a change of `object` is to be made from.
     #[must_use]
-    pub fn base(&self, object: &str) -> Option<Offset> {
+    pub fn current_version(&self, object: &str) -> Option<Offset> {
         self.versions.get(object).map(|v| v.version)
     }
 
@@ -141,8 +141,8 @@
 
     fn check_version(&self, change: &Change) -> Result<(), Refusal> {
         let object = change.op.object();
-        let current = self.base(&object);
-        let checked = change.op.is_versioned() && Safeguard::VersionCheck.active();
+        let current = self.current_version(&object);
+        let checked = change.op.is_versioned() && Safeguard::VersionCheck.is_active();
         if !checked || current == change.base {
             return Ok(());
         }
@@ -328,7 +328,7 @@
     }
 }
 
-impl Machine for ConfigMachine {
+impl StateMachine for ConfigMachine {
     type Body = Change;
     type Verdict = Verdict;
 
@@ -347,14 +347,16 @@
         verdict
     }
 
-    fn recall(&self, _writer: WriterId, change: &Change) -> Verdict {
+    fn recover_verdict(&self, _writer: WriterId, change: &Change) -> Verdict {
         let forgotten = || {
             Verdict::Refused(Refusal {
                 kind: ErrorKind::OutcomeUnknown,
                 faults: vec!["the verdict is no longer remembered".to_owned()],
             })
         };
-        self.judged(&change.id).cloned().unwrap_or_else(forgotten)
+        self.verdict_of(&change.id)
+            .cloned()
+            .unwrap_or_else(forgotten)
     }
 }
 
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -5,7 +5,7 @@
     AcceleratorSpec, AdapterSpec, Change, ConfigMachine, Fleet, ModelSpec, Op, Organisation, Param,
     ParamKind, Setting, Settings, Template, Value, Verdict, View,
 };
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_testkit::cases;
 use shaleline_types::{
     Adapter, ChangeId, ErrorKind, Megabytes, Millis, Model, Offset, Org, TemplateName, TokenHash,
@@ -48,8 +48,8 @@
         self.machine.apply(at, &change)
     }
 
-    fn base(&self, object: &str) -> Option<Offset> {
-        self.machine.base(object)
+    fn current_version(&self, object: &str) -> Option<Offset> {
+        self.machine.current_version(object)
     }
 }
 
@@ -164,7 +164,7 @@
 fn of_two_operators_who_race_one_wins_and_the_other_learns_what_changed() {
     let mut log = Log::new();
     log.put("create", None, org("o", &[]));
-    let base = log.base("organisation/o");
+    let base = log.current_version("organisation/o");
     assert!(accepted(&log.put(
         "one",
         base,
@@ -185,7 +185,7 @@
     let first = log.put("same", None, org("o", &[]));
     let again = log.put("same", None, org("o", &[]));
     assert_eq!(first, again);
-    assert_eq!(log.base("organisation/o"), Some(Offset(2)));
+    assert_eq!(log.current_version("organisation/o"), Some(Offset(2)));
 }
 
 #[test]
@@ -193,7 +193,7 @@
     let mut log = Log::new();
     log.put("a", None, org("a", &[("priority", Value::Integer(3))]));
     log.put("b", None, org("b", &[("priority", Value::Integer(8))]));
-    let base = log.base("template/standard");
+    let base = log.current_version("template/standard");
     let before = log.machine.clone();
     let verdict = log.put("narrow", base, Op::PutTemplate(Box::new(template(5))));
     let (_, text) = refusal(&verdict);
@@ -206,7 +206,7 @@
 fn a_template_in_use_is_not_removed() {
     let mut log = Log::new();
     log.put("a", None, org("a", &[]));
-    let base = log.base("template/standard");
+    let base = log.current_version("template/standard");
     let name = TemplateName::from_text("standard").expect("a valid name");
     let verdict = log.put("remove", base, Op::RemoveTemplate(name));
     assert_eq!(refusal(&verdict).1, "template standard is used by a");
@@ -221,7 +221,7 @@
         None,
         org("o", &[("models", both.clone())])
     )));
-    let base = log.base("fleet");
+    let base = log.current_version("fleet");
     let verdict = log.put("shrink", base, Op::PutFleet(fleet(1)));
     assert!(refusal(&verdict).1.contains("fits no accelerator"));
 }
@@ -242,7 +242,7 @@
     );
     let view = View::from_machine(&log.machine, Offset(log.next));
     assert!(view.caller(&token).is_some());
-    let base = log.base("organisation/a");
+    let base = log.current_version("organisation/a");
     log.put("remove", base, Op::RemoveOrganisation(name));
     let view = View::from_machine(&log.machine, Offset(log.next));
     assert!(view.caller(&token).is_none());
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -155,7 +155,7 @@
 /// Appends a change and waits for the replay's verdict. A call that gives up waiting is
 /// answered with the advice to repeat it under the same id, which is harmless.
 async fn submit(core: &Arc<Core>, change: Change) -> Result<Verdict> {
-    let judged = core.config.with(|c| c.judged(&change.id).cloned());
+    let judged = core.config.with(|c| c.verdict_of(&change.id).cloned());
     if let Some(verdict) = judged {
         return Ok(verdict);
     }
--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/answer.rs
@@ -23,7 +23,7 @@
         "message": error.detail(),
         "outcome": answer.outcome.as_str(),
         "request_id": id.to_string(),
-        "retry_after_ms": error.retry().map(|r| r.0),
+        "retry_after_ms": error.retry_after().map(|r| r.0),
     }})
 }
 
@@ -33,7 +33,7 @@
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = HttpResponse::build(status);
     mark(&mut response, answer.outcome, id);
-    if let Some(after) = error.retry() {
+    if let Some(after) = error.retry_after() {
         response.insert_header(("retry-after", after.0.div_ceil(1_000).to_string()));
         response.insert_header((RETRY_MS, after.0.to_string()));
     }
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -237,7 +237,7 @@
 fn refusal(kind: ErrorKind, retry: Option<Millis>) -> Error {
     let error = Error::from(kind);
     match retry {
-        Some(retry) => error.with_retry(retry),
+        Some(retry) => error.with_retry_after(retry),
         None => error,
     }
 }
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -293,7 +293,7 @@
         };
         let mut error = Error::from(kind);
         if let Some(retry) = retry {
-            error = error.with_retry(retry);
+            error = error.with_retry_after(retry);
         }
         self.core.metrics.count_request("model", kind.answer().code);
         if kind == ErrorKind::BrokenStream {
--- a/crates/daemon/src/dump.rs
+++ b/crates/daemon/src/dump.rs
@@ -5,11 +5,11 @@
 use crate::journal::Journal;
 use serde_json::{json, Value};
 use shaleline_config::{ConfigMachine, Role};
-use shaleline_log::Machine;
+use shaleline_log::StateMachine;
 use shaleline_types::{Org, Upstream};
 use std::sync::Arc;
 
-fn journal<M: Machine>(journal: &Journal<M>) -> Value {
+fn journal<M: StateMachine>(journal: &Journal<M>) -> Value {
     json!({
         "stream": journal.stream(),
         "next": journal.next(),
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -2,8 +2,8 @@
 
 use crate::guarded::guarded;
 use shaleline_log::{
-    AppendBudget, Appended, Committed, Halt, Machine, Priority, ReadBatch, Replica, Snapshot,
-    State, Ticket,
+    AppendBudget, AppendOutcome, Committed, Halt, Priority, ReadBatch, Replica, Snapshot, State,
+    StateMachine, Ticket,
 };
 use shaleline_types::{Millis, Offset, Stream, WriterId};
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
     pub(crate) done: oneshot::Receiver<Committed<V>>,
 }
 
-struct Inner<M: Machine> {
+struct Inner<M: StateMachine> {
     replica: Replica<M>,
     waiters: HashMap<Ticket, oneshot::Sender<Committed<M::Verdict>>>,
     caught_up: bool,
@@ -27,7 +27,7 @@
 pub(crate) type SharedBudget = Arc<Mutex<AppendBudget>>;
 
 /// A stream's replica with what waits for it.
-pub(crate) struct Journal<M: Machine> {
+pub(crate) struct Journal<M: StateMachine> {
     stream: Stream,
     snapshots: Stream,
     /// Whether the stream is followed also while nothing waits for it.
@@ -39,7 +39,7 @@
     watchers: AtomicUsize,
 }
 
-impl<M: Machine> Journal<M> {
+impl<M: StateMachine> Journal<M> {
     pub(crate) fn new(name: &str, writer: WriterId, budget: &SharedBudget, always: bool) -> Self {
         let stream = |text: &str| Stream::from_text(text).expect("stream names are valid");
         Self {
@@ -126,10 +126,10 @@
         self.inner().replica.next_append(now, wall, &mut budget)
     }
 
-    pub(crate) fn on_append(&self, now: Millis, result: Appended) {
+    pub(crate) fn on_append(&self, now: Millis, result: AppendOutcome) {
         let mut inner = self.inner();
         if guarded("replay", || inner.replica.on_append(now, result)).is_none() {
-            inner.replica.stop_broken();
+            inner.replica.halt_broken();
         }
         self.deliver(inner);
     }
@@ -137,7 +137,7 @@
     pub(crate) fn on_read(&self, batch: &ReadBatch) -> Result<(), Halt> {
         let mut inner = self.inner();
         let result = guarded("replay", || inner.replica.on_read(batch));
-        let result = result.unwrap_or_else(|| Err(inner.replica.stop_broken()));
+        let result = result.unwrap_or_else(|| Err(inner.replica.halt_broken()));
         inner.caught_up |= result.is_ok() && inner.replica.next() >= batch.tail;
         self.deliver(inner);
         result
@@ -145,7 +145,7 @@
 
     /// Hands out verdicts and tells watchers that the state changed.
     fn deliver(&self, mut inner: MutexGuard<'_, Inner<M>>) {
-        for done in inner.replica.take_done() {
+        for done in inner.replica.take_committed() {
             if let Some(tell) = inner.waiters.remove(&done.ticket) {
                 let _ = tell.send(done);
             }
@@ -168,11 +168,11 @@
     }
 
     pub(crate) fn snapped(&self) -> Offset {
-        self.inner().replica.snapped()
+        self.inner().replica.snapshot_offset()
     }
 
     pub(crate) fn note_snapshot(&self, covers: Offset) {
-        self.inner().replica.note_snapshot(covers);
+        self.inner().replica.record_snapshot(covers);
     }
 
     pub(crate) fn to_snapshot(&self) -> Snapshot {
@@ -196,19 +196,19 @@
 }
 
 /// Keeps a stream followed and tells of changes.
-pub(crate) struct Watch<'a, M: Machine> {
+pub(crate) struct Watch<'a, M: StateMachine> {
     journal: &'a Journal<M>,
     changed: watch::Receiver<Offset>,
 }
 
-impl<M: Machine> Watch<'_, M> {
+impl<M: StateMachine> Watch<'_, M> {
     /// Waits for the next change.
     pub(crate) async fn changed(&mut self) {
         let _ = self.changed.changed().await;
     }
 }
 
-impl<M: Machine> Drop for Watch<'_, M> {
+impl<M: StateMachine> Drop for Watch<'_, M> {
     fn drop(&mut self) {
         self.journal.watchers.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/daemon/src/keyed.rs
+++ b/crates/daemon/src/keyed.rs
@@ -16,7 +16,7 @@
 use shaleline_log::Priority;
 use shaleline_once::{
     Attempt, AttemptAction, AttemptEvent, KeptAnswer, KeyState, OnceBody, OnceKey, OnceMachine,
-    OnceVerdict, SendEnd,
+    OnceVerdict, SendOutcome,
 };
 use shaleline_route::End;
 use shaleline_types::{
@@ -215,7 +215,7 @@
             Some(allowed) => allowed,
             None => match self.allow().await {
                 Ok(allowed) => allowed,
-                Err(_) => return AttemptEvent::Sent(SendEnd::NotSent),
+                Err(_) => return AttemptEvent::Sent(SendOutcome::NotSent),
             },
         };
         let patience = Duration::from_millis(self.job.tenant.patience);
@@ -223,11 +223,11 @@
         let (end, result) = match tokio::time::timeout(patience, sent).await {
             Ok(Ok(answer)) => (
                 End::Whole,
-                AttemptEvent::Sent(SendEnd::Answered(kept(&answer))),
+                AttemptEvent::Sent(SendOutcome::Answered(kept(&answer))),
             ),
-            Ok(Err(SendError::NotSent)) => (End::NotSent, AttemptEvent::Sent(SendEnd::NotSent)),
-            Ok(Err(SendError::Refused)) => (End::Refused, AttemptEvent::Sent(SendEnd::NotSent)),
-            Ok(Err(SendError::Broken)) => (End::Broken, AttemptEvent::Sent(SendEnd::Unknown)),
+            Ok(Err(SendError::NotSent)) => (End::NotSent, AttemptEvent::Sent(SendOutcome::NotSent)),
+            Ok(Err(SendError::Refused)) => (End::Refused, AttemptEvent::Sent(SendOutcome::NotSent)),
+            Ok(Err(SendError::Broken)) => (End::Broken, AttemptEvent::Sent(SendOutcome::Unknown)),
             Err(_) => (End::Broken, AttemptEvent::Deadline),
         };
         allowed.permit.end(allowed.number, end);
--- a/crates/daemon/src/log_actor.rs
+++ b/crates/daemon/src/log_actor.rs
@@ -5,7 +5,7 @@
 use crate::emit::emit;
 use crate::journal::Journal;
 use actix::prelude::*;
-use shaleline_log::{pick_snapshot, Appended, Halt, LogService, Machine, StoredRecord};
+use shaleline_log::{pick_snapshot, AppendOutcome, Halt, LogService, StateMachine, StoredRecord};
 use shaleline_types::{LogEvent, Millis, Offset};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,13 +21,13 @@
 pub(crate) type Pick<M> = Rc<dyn Fn(&Core) -> &Journal<M>>;
 
 /// The actor of one stream.
-pub(crate) struct LogActor<M: Machine + 'static> {
+pub(crate) struct LogActor<M: StateMachine + 'static> {
     core: Arc<Core>,
     log: Rc<dyn LogService>,
     pick: Pick<M>,
 }
 
-impl<M: Machine + Unpin + 'static> LogActor<M> {
+impl<M: StateMachine + Unpin + 'static> LogActor<M> {
     pub(crate) fn new(core: &Arc<Core>, log: &Rc<dyn LogService>, pick: Pick<M>) -> Self {
         Self {
             core: Arc::clone(core),
@@ -37,7 +37,7 @@
     }
 }
 
-impl<M: Machine + Unpin + 'static> Actor for LogActor<M> {
+impl<M: StateMachine + Unpin + 'static> Actor for LogActor<M> {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
@@ -56,7 +56,7 @@
     }
 }
 
-async fn append_loop<M: Machine>(core: Arc<Core>, log: Rc<dyn LogService>, pick: Pick<M>) {
+async fn append_loop<M: StateMachine>(core: Arc<Core>, log: Rc<dyn LogService>, pick: Pick<M>) {
     loop {
         let journal = pick(&core);
         let woken = journal.woken();
@@ -64,7 +64,7 @@
             Some(batch) => {
                 core.metrics.appends.add(1, &[]);
                 let result = log.append(journal.stream(), &batch).await;
-                core.note_log(matches!(result, Appended::At(_)));
+                core.note_log(matches!(result, AppendOutcome::At(_)));
                 journal.on_append(core.now(), result);
             }
             None => {
@@ -79,7 +79,7 @@
     }
 }
 
-async fn read_loop<M: Machine>(core: Arc<Core>, log: Rc<dyn LogService>, pick: Pick<M>) {
+async fn read_loop<M: StateMachine>(core: Arc<Core>, log: Rc<dyn LogService>, pick: Pick<M>) {
     while !load_snapshot(&core, &log, &pick).await {
         actix_rt::time::sleep(RETRY).await;
         if pick(&core).is_caught_up() {
@@ -110,7 +110,7 @@
 }
 
 /// A gap ends if a snapshot reaches beyond it; anything else stays halted, loudly.
-async fn on_halt<M: Machine>(
+async fn on_halt<M: StateMachine>(
     core: &Arc<Core>,
     log: &Rc<dyn LogService>,
     pick: &Pick<M>,
@@ -129,7 +129,7 @@
 }
 
 /// Restores the snapshot that reaches furthest. Returns whether the log answered.
-async fn load_snapshot<M: Machine>(
+async fn load_snapshot<M: StateMachine>(
     core: &Arc<Core>,
     log: &Rc<dyn LogService>,
     pick: &Pick<M>,
--- a/crates/daemon/src/member_actor.rs
+++ b/crates/daemon/src/member_actor.rs
@@ -6,7 +6,7 @@
 use actix::prelude::*;
 use jsonrpsee::http_client::{HttpClient, HttpClientBuilder};
 use shaleline_border::{InstanceKind, InstanceList};
-use shaleline_log::{pick_snapshot, Machine, StoredRecord};
+use shaleline_log::{pick_snapshot, StateMachine, StoredRecord};
 use shaleline_peer::{
     DemandReport, Heartbeat, LoanRequest, MemberEvent, PeerApiClient, RelayRequest,
 };
@@ -154,7 +154,7 @@
     }
 }
 
-async fn take_state<M: Machine>(core: &Arc<Core>, client: &HttpClient, journal: &Journal<M>) {
+async fn take_state<M: StateMachine>(core: &Arc<Core>, client: &HttpClient, journal: &Journal<M>) {
     let request = RelayRequest {
         stream: journal.stream().clone(),
         next: journal.next(),
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -6,7 +6,7 @@
 use jsonrpsee::core::{async_trait, RpcResult};
 use jsonrpsee::server::{Server, ServerHandle};
 use jsonrpsee::types::ErrorObjectOwned;
-use shaleline_log::Machine;
+use shaleline_log::StateMachine;
 use shaleline_peer::{DemandReport, Heartbeat, LoanRequest, PeerApiServer, RelayRequest};
 use shaleline_route::{LimitKind, Limits};
 use shaleline_types::{Offset, TokenHash};
@@ -31,7 +31,7 @@
 }
 
 /// Chunks of a snapshot, if this daemon's state reaches further than `next`.
-fn chunks<M: Machine>(journal: &Journal<M>, next: Offset) -> Vec<String> {
+fn chunks<M: StateMachine>(journal: &Journal<M>, next: Offset) -> Vec<String> {
     if journal.next() <= next || journal.halt().is_some() {
         return Vec::new();
     }
--- a/crates/daemon/src/snapshot_actor.rs
+++ b/crates/daemon/src/snapshot_actor.rs
@@ -4,7 +4,7 @@
 use crate::emit::emit;
 use crate::journal::Journal;
 use actix::prelude::*;
-use shaleline_log::{Appended, LogService, Machine};
+use shaleline_log::{AppendOutcome, LogService, StateMachine};
 use shaleline_types::{LogEvent, Millis};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     }
 }
 
-async fn write_if_due<M: Machine>(
+async fn write_if_due<M: StateMachine>(
     core: &Arc<Core>,
     log: &Rc<dyn LogService>,
     journal: &Journal<M>,
@@ -72,7 +72,7 @@
     for part in chunks.chunks(CHUNKS_AT_ONCE) {
         core.metrics.appends.add(1, &[]);
         let result = log.append(journal.snapshot_stream(), part).await;
-        if !matches!(result, Appended::At(_)) {
+        if !matches!(result, AppendOutcome::At(_)) {
             return;
         }
     }
--- a/crates/dialect/src/log.rs
+++ b/crates/dialect/src/log.rs
@@ -5,7 +5,7 @@
 use futures_util::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
 use shaleline_border::SendError;
-use shaleline_log::{Appended, LogError, LogService, ReadBatch};
+use shaleline_log::{AppendOutcome, LogError, LogService, ReadBatch};
 use shaleline_types::{Millis, Offset, Stream};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         &'a self,
         stream: &'a Stream,
         records: &'a [String],
-    ) -> LocalBoxFuture<'a, Appended> {
+    ) -> LocalBoxFuture<'a, AppendOutcome> {
         Box::pin(async move {
             let url = format!("http://{}/log/{stream}", self.platform());
             let body = AppendRequest {
@@ -42,15 +42,15 @@
             let sent = self.client().post(url).send_json(&body).await;
             let mut answer = match sent {
                 Ok(answer) => answer,
-                Err(e) if send_error(&e) == SendError::NotSent => return Appended::Refused,
-                Err(_) => return Appended::Lost,
+                Err(e) if send_error(&e) == SendError::NotSent => return AppendOutcome::Refused,
+                Err(_) => return AppendOutcome::Lost,
             };
             if answer.status().as_u16() == TOO_MANY {
-                return Appended::Refused;
+                return AppendOutcome::Refused;
             }
             match answer.json::<AppendAnswer>().await {
-                Ok(body) => Appended::At(body.first),
-                Err(_) => Appended::Lost,
+                Ok(body) => AppendOutcome::At(body.first),
+                Err(_) => AppendOutcome::Lost,
             }
         })
     }
--- a/crates/dialect/tests/send.rs
+++ b/crates/dialect/tests/send.rs
@@ -2,7 +2,7 @@
 
 use shaleline_border::{SendError, ServiceCall, Services};
 use shaleline_dialect::HttpPlatform;
-use shaleline_log::{Appended, LogService};
+use shaleline_log::{AppendOutcome, LogService};
 use shaleline_types::Stream;
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -44,7 +44,7 @@
     })
 }
 
-fn append(address: SocketAddr) -> Appended {
+fn append(address: SocketAddr) -> AppendOutcome {
     let stream = Stream::from_text("config").expect("a valid name");
     actix_rt::System::new().block_on(async {
         let platform = HttpPlatform::new(&address.to_string());
@@ -55,7 +55,7 @@
 #[test]
 fn nobody_there_means_not_sent() {
     assert_eq!(call(nobody()), Err(SendError::NotSent));
-    assert_eq!(append(nobody()), Appended::Refused);
+    assert_eq!(append(nobody()), AppendOutcome::Refused);
 }
 
 /// Found by scripts/faults.sh: the client reports a connection that closed without an
@@ -63,5 +63,5 @@
 #[test]
 fn regression_a_connection_closed_without_an_answer_may_have_run() {
     assert_eq!(call(mute()), Err(SendError::Broken));
-    assert_eq!(append(mute()), Appended::Lost);
+    assert_eq!(append(mute()), AppendOutcome::Lost);
 }
--- a/crates/faults/src/cell_run.rs
+++ b/crates/faults/src/cell_run.rs
@@ -372,7 +372,7 @@
                 let now = world.now();
                 if let Some(index) = claim {
                     self.claims[index].answered = Some(world.step);
-                    if let CellVerdict::Lease(LeaseVerdict::Taken(fence)) = done.verdict {
+                    if let CellVerdict::Lease(LeaseVerdict::Acquired(fence)) = done.verdict {
                         self.claims[index].event = LeaseEvent::Taken(fence.0 + 1);
                     }
                 }
--- a/crates/faults/src/config_run.rs
+++ b/crates/faults/src/config_run.rs
@@ -20,7 +20,7 @@
 /// The most operations of one object that the checker of histories is given.
 const MOST_OPERATIONS: usize = 60;
 
-type Machine = ConfigMachine;
+type StateMachine = ConfigMachine;
 
 /// A change that an operator asked for.
 struct Asked {
@@ -39,7 +39,7 @@
 
 pub(crate) fn run(seed: u64, tally: &mut Tally) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world: World<Machine> = World::new(NODES, Retention::Covered);
+    let mut world: World<StateMachine> = World::new(NODES, Retention::Covered);
     let mut operators = Operators {
         asked: Vec::new(),
         tickets: BTreeMap::new(),
@@ -115,7 +115,7 @@
 impl Operators {
     /// An operator changes an organisation as one daemon shows it, or repeats a change
     /// that had no answer through another daemon.
-    fn ask(&mut self, world: &mut World<Machine>, rng: &mut SmallRng) {
+    fn ask(&mut self, world: &mut World<StateMachine>, rng: &mut SmallRng) {
         let node = rng.random_range(0..NODES);
         if !world.is_up(node) {
             return;
@@ -145,13 +145,18 @@
         self.tickets.insert((n.writer, ticket), index);
     }
 
-    fn fresh(&self, world: &World<Machine>, node: usize, rng: &mut SmallRng) -> Option<Change> {
+    fn fresh(
+        &self,
+        world: &World<StateMachine>,
+        node: usize,
+        rng: &mut SmallRng,
+    ) -> Option<Change> {
         let machine = world.nodes[node].replica.machine();
         if machine.templates().is_empty() {
             return None;
         }
         let name = org_name(rng.random_range(0..ORGS));
-        let base = machine.base(&format!("organisation/{name}"));
+        let base = machine.current_version(&format!("organisation/{name}"));
         let op = if base.is_some() && rng.random_range(0..10) == 0 {
             Op::RemoveOrganisation(name)
         } else {
@@ -164,7 +169,7 @@
         Some(change(&format!("change-{}", self.asked.len()), base, op))
     }
 
-    fn on_event(&mut self, world: &World<Machine>, event: Event<Verdict>, tally: &mut Tally) {
+    fn on_event(&mut self, world: &World<StateMachine>, event: Event<Verdict>, tally: &mut Tally) {
         match event {
             Event::Done { node, done } => {
                 let writer = world.nodes[node].writer;
@@ -192,7 +197,7 @@
     }
 
     /// Looks at what each process has in force.
-    fn look(&mut self, world: &World<Machine>, tally: &mut Tally) {
+    fn look(&mut self, world: &World<StateMachine>, tally: &mut Tally) {
         for (i, node) in world.nodes.iter().enumerate() {
             for (object, version) in node.replica.machine().versions() {
                 let shown = self
@@ -211,7 +216,7 @@
         }
     }
 
-    fn conclude(&mut self, world: &World<Machine>, tally: &mut Tally) {
+    fn conclude(&mut self, world: &World<StateMachine>, tally: &mut Tally) {
         let diverged = world.diverged();
         tally.check(
             Invariant::Config,
@@ -221,7 +226,7 @@
         let reference = world.reference();
         for asked in &mut self.asked {
             if asked.verdict.is_none() {
-                asked.verdict = reference.machine().judged(&asked.change.id).cloned();
+                asked.verdict = reference.machine().verdict_of(&asked.change.id).cloned();
             }
         }
         self.check_winners(tally);
--- a/crates/faults/src/log_run.rs
+++ b/crates/faults/src/log_run.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
-use shaleline_log::{Machine, Position, Priority};
+use shaleline_log::{Position, Priority, StateMachine};
 use shaleline_types::WriterId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,7 @@
     order: u64,
 }
 
-impl Machine for Recorder {
+impl StateMachine for Recorder {
     type Body = u64;
     type Verdict = u64;
 
@@ -31,7 +31,7 @@
         *count
     }
 
-    fn recall(&self, _writer: WriterId, body: &u64) -> u64 {
+    fn recover_verdict(&self, _writer: WriterId, body: &u64) -> u64 {
         self.seen.get(body).copied().unwrap_or(0)
     }
 }
--- a/crates/faults/src/once_run.rs
+++ b/crates/faults/src/once_run.rs
@@ -8,7 +8,7 @@
 use shaleline_log::{Priority, Ticket};
 use shaleline_once::{
     Attempt, AttemptAction, AttemptEvent, KeptAnswer, KeyState, OnceBody, OnceKey, OnceMachine,
-    SendEnd,
+    SendOutcome,
 };
 use shaleline_types::{Org, Outcome, RequestId, WriterId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
     asked: Option<Ticket>,
     watching: Option<WriterId>,
     /// When the service's answer arrives, and how the send ends.
-    sending: Option<(u64, SendEnd)>,
+    sending: Option<(u64, SendOutcome)>,
 }
 
 struct Callers {
@@ -238,11 +238,11 @@
         let key = self.calls[id].key;
         let dice = rng.random_range(0..100);
         let end = match dice {
-            0..60 => SendEnd::Answered(answer_of(id as u64)),
-            60..75 => SendEnd::NotSent,
-            _ => SendEnd::Unknown,
+            0..60 => SendOutcome::Answered(answer_of(id as u64)),
+            60..75 => SendOutcome::NotSent,
+            _ => SendOutcome::Unknown,
         };
-        if end != SendEnd::NotSent && dice < 90 {
+        if end != SendOutcome::NotSent && dice < 90 {
             let ran = self.ran.entry(key).or_default();
             ran.push(id as u64);
             let count = ran.len();
@@ -254,7 +254,7 @@
                 format!("attempt {id} at key {key} ran after its caller was told that it did not")
             });
         }
-        if !matches!(end, SendEnd::Answered(_)) {
+        if !matches!(end, SendOutcome::Answered(_)) {
             tally.fault();
         }
         let due = world.step + rng.random_range(0..60);
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/world.rs
@@ -4,7 +4,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 use shaleline_log::{
-    pick_snapshot, AppendBudget, Appended, Committed, Halt, Machine, ReadBatch, Replica,
+    pick_snapshot, AppendBudget, AppendOutcome, Committed, Halt, ReadBatch, Replica, StateMachine,
     StoredRecord,
 };
 use shaleline_standin::MemoryLog;
@@ -27,17 +27,17 @@
 }
 
 /// One process.
-pub(crate) struct Node<M: Machine> {
+pub(crate) struct Node<M: StateMachine> {
     pub(crate) replica: Replica<M>,
     pub(crate) writer: WriterId,
     budget: AppendBudget,
     paused: u64,
-    answer: Option<(u64, Appended)>,
+    answer: Option<(u64, AppendOutcome)>,
     calling: bool,
     furthest: Offset,
 }
 
-impl<M: Machine> Node<M> {
+impl<M: StateMachine> Node<M> {
     fn new(writer: WriterId) -> Self {
         Self {
             replica: Replica::new(writer),
@@ -68,7 +68,7 @@
 }
 
 /// Processes and their log.
-pub(crate) struct World<M: Machine> {
+pub(crate) struct World<M: StateMachine> {
     pub(crate) nodes: Vec<Node<M>>,
     pub(crate) step: u64,
     log: MemoryLog,
@@ -83,7 +83,7 @@
     healed: bool,
 }
 
-impl<M: Machine> World<M> {
+impl<M: StateMachine> World<M> {
     pub(crate) fn new(count: usize, retention: Retention) -> Self {
         let stream = |t: &str| Stream::from_text(t).expect("the name is valid");
         Self {
@@ -113,14 +113,14 @@
         self.nodes[node].paused <= self.step
     }
 
-    fn append(&mut self, records: &[String]) -> Appended {
+    fn append(&mut self, records: &[String]) -> AppendOutcome {
         let now = self.now();
         match self.log.append(&self.stream, records, now) {
             Ok(first) => {
                 self.history.extend(records.iter().cloned());
-                Appended::At(first)
+                AppendOutcome::At(first)
             }
-            Err(_) => Appended::Refused,
+            Err(_) => AppendOutcome::Refused,
         }
     }
 
@@ -183,23 +183,23 @@
             rng.random_range(0..100)
         };
         let answer = match dice {
-            _ if out => Appended::Lost,
+            _ if out => AppendOutcome::Lost,
             0..60 => self.append(&batch),
             60..72 => {
                 self.append(&batch);
-                Appended::Lost
+                AppendOutcome::Lost
             }
-            72..80 => Appended::Lost,
+            72..80 => AppendOutcome::Lost,
             80..94 => {
                 self.late.push(Late {
                     due: self.step + rng.random_range(1..300),
                     records: batch,
                 });
-                Appended::Lost
+                AppendOutcome::Lost
             }
-            _ => Appended::Refused,
+            _ => AppendOutcome::Refused,
         };
-        if !matches!(answer, Appended::At(_)) {
+        if !matches!(answer, AppendOutcome::At(_)) {
             tally.fault();
         }
         let delay = rng.random_range(0..8);
@@ -297,7 +297,7 @@
     }
 
     fn collect(&mut self, node: usize, events: &mut Vec<Event<M::Verdict>>) {
-        for done in self.nodes[node].replica.take_done() {
+        for done in self.nodes[node].replica.take_committed() {
             events.push(Event::Done { node, done });
         }
     }
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -258,7 +258,7 @@
 
     /// Takes in what was seen. What is older than what is known is passed over.
     pub(crate) fn sight(&mut self, held: Held, from: Sighting, now: Millis) {
-        match held.incarnation.against(self.held.incarnation) {
+        match held.incarnation.compare_to(self.held.incarnation) {
             cmp::Ordering::Less => return,
             cmp::Ordering::Equal => {}
             cmp::Ordering::Greater => self.restart(held.clone()),
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -13,7 +13,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use shaleline_edge::{Exchange, Reply, ReplyBody, SendError};
 use shaleline_route::{AttemptNumber, End, Load, RouteAction, RouteEvent};
-use shaleline_types::{LogEvent, StartTag, Upstream};
+use shaleline_types::{IncarnationTag, LogEvent, Upstream};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -77,7 +77,7 @@
 }
 
 impl Failure {
-    const fn to_end(self, start: StartTag) -> Option<End> {
+    const fn to_end(self, start: IncarnationTag) -> Option<End> {
         match self {
             Self::Ended => Some(End::UpstreamEnded(start)),
             Self::NotSent => Some(End::NotSent),
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use shaleline_route::{Ask, AttemptNumber, End, Limits, Route, RouteAction, Terms};
 use shaleline_types::{
-    Adapter, ErrorKind, Identity, Millis, Model, Org, RequestId, Service, StartTag, Upstream,
+    Adapter, ErrorKind, Identity, IncarnationTag, Millis, Model, Org, RequestId, Service, Upstream,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -157,7 +157,7 @@
     Refused,
     Broken,
     Cancelled,
-    UpstreamEnded(StartTag),
+    UpstreamEnded(IncarnationTag),
 }
 
 impl EndNote {
--- a/crates/gateway/src/ended.rs
+++ b/crates/gateway/src/ended.rs
@@ -8,7 +8,7 @@
 use crate::state::Gateway;
 use shaleline_edge::Reach;
 use shaleline_route::AttemptNumber;
-use shaleline_types::{Incarnation, LogEvent, Millis, StartTag, Upstream};
+use shaleline_types::{Incarnation, IncarnationTag, LogEvent, Millis, Upstream};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,12 +29,12 @@
 /// What was seen of upstreams to which sends broke off.
 #[derive(Debug, Default)]
 pub(crate) struct Ends {
-    looks: HashMap<StartTag, (Millis, Seen)>,
+    looks: HashMap<IncarnationTag, (Millis, Seen)>,
 }
 
 impl Ends {
     /// The look at a start of an upstream, which sends that break off together share.
-    fn look(&mut self, start: StartTag, now: Millis) -> Seen {
+    fn look(&mut self, start: IncarnationTag, now: Millis) -> Seen {
         self.looks.retain(|_, (at, _)| now.since(*at) < SAME_MS);
         let (_, seen) = self
             .looks
@@ -49,7 +49,7 @@
 pub(crate) struct Sent {
     pub(crate) attempt: AttemptNumber,
     pub(crate) upstream: Upstream,
-    pub(crate) start: StartTag,
+    pub(crate) start: IncarnationTag,
 }
 
 impl Gateway {
@@ -60,7 +60,7 @@
         let incarnation = listed.unwrap_or_default();
         Sent {
             attempt,
-            start: StartTag::of(upstream, self.latest(upstream, incarnation)),
+            start: IncarnationTag::of(upstream, self.latest(upstream, incarnation)),
             upstream: upstream.clone(),
         }
     }
@@ -68,7 +68,7 @@
     /// What an engine said of itself may be newer than its entry.
     fn latest(&self, upstream: &Upstream, listed: Incarnation) -> Incarnation {
         let seen = self.start_of(upstream).1;
-        match seen.against(listed) {
+        match seen.compare_to(listed) {
             std::cmp::Ordering::Greater => seen,
             _ => listed,
         }
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -24,8 +24,8 @@
     pub(crate) fn new(kind: ErrorKind) -> Self {
         Self {
             kind,
-            retry: kind.answer().retry,
-            reason: kind.meaning().to_owned(),
+            retry: kind.answer().retry_after,
+            reason: kind.description().to_owned(),
             org: None,
         }
     }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -119,7 +119,7 @@
     fn on_entry(&mut self, name: Upstream, offset: u64, entry: Entry) -> Option<Change> {
         let known = self.listed.get(&name).map(|l| l.entry.incarnation);
         let known = known.or_else(|| Some(self.gone.get(&name)?.incarnation));
-        let against = known.map(|k| entry.incarnation.against(k));
+        let against = known.map(|k| entry.incarnation.compare_to(k));
         if against == Some(Ordering::Less) {
             return None;
         }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseVerdict {
     /// The writer is the owner under this fencing number.
-    Taken(Offset),
+    Acquired(Offset),
     /// The challenge stands open at this offset.
     Challenged(Offset),
     /// All challenges are answered.
@@ -54,7 +54,7 @@
     /// The lease is free.
     Released,
     /// Without effect.
-    Void,
+    NoEffect,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -111,7 +111,7 @@
                 self.open.clear();
                 LeaseVerdict::Released
             }
-            LeaseBody::Renew { .. } | LeaseBody::Release { .. } => LeaseVerdict::Void,
+            LeaseBody::Renew { .. } | LeaseBody::Release { .. } => LeaseVerdict::NoEffect,
         }
     }
 
@@ -133,7 +133,7 @@
             (Some(_), None) => false,
         };
         if !granted {
-            return LeaseVerdict::Void;
+            return LeaseVerdict::NoEffect;
         }
         assert!(self.last < Some(offset), "fencing numbers only grow");
         self.last = Some(offset);
@@ -143,13 +143,13 @@
             fence: offset,
         });
         self.open.clear();
-        LeaseVerdict::Taken(offset)
+        LeaseVerdict::Acquired(offset)
     }
 
     fn challenge(&mut self, offset: Offset, by: WriterId, fence: Offset) -> LeaseVerdict {
         let current = self.holder.as_ref().map(|h| h.fence);
         if current != Some(fence) {
-            return LeaseVerdict::Void;
+            return LeaseVerdict::NoEffect;
         }
         if let Some(open) = self.open.iter().find(|c| c.by == by) {
             return LeaseVerdict::Challenged(open.offset);
--- a/crates/lease/tests/lease.rs
+++ b/crates/lease/tests/lease.rs
@@ -38,9 +38,9 @@
     let mut lease = Lease::default();
     assert_eq!(
         put(&mut lease, 0, 1, &claim(None)),
-        LeaseVerdict::Taken(Offset(0))
+        LeaseVerdict::Acquired(Offset(0))
     );
-    assert_eq!(put(&mut lease, 1, 2, &claim(None)), LeaseVerdict::Void);
+    assert_eq!(put(&mut lease, 1, 2, &claim(None)), LeaseVerdict::NoEffect);
     assert_eq!(lease.fence_of(WriterId(1)), Some(Offset(0)));
 }
 
@@ -52,10 +52,13 @@
         put(&mut lease, 1, 2, &challenge(0)),
         LeaseVerdict::Challenged(Offset(1))
     );
-    assert_eq!(put(&mut lease, 2, 3, &claim(Some(1))), LeaseVerdict::Void);
+    assert_eq!(
+        put(&mut lease, 2, 3, &claim(Some(1))),
+        LeaseVerdict::NoEffect
+    );
     assert_eq!(
         put(&mut lease, 3, 2, &claim(Some(1))),
-        LeaseVerdict::Taken(Offset(3))
+        LeaseVerdict::Acquired(Offset(3))
     );
     assert_eq!(
         lease.fence_of(WriterId(1)),
@@ -71,7 +74,10 @@
     put(&mut lease, 1, 2, &challenge(0));
     let renew = LeaseBody::Renew { fence: Offset(0) };
     assert_eq!(put(&mut lease, 2, 1, &renew), LeaseVerdict::Renewed);
-    assert_eq!(put(&mut lease, 3, 2, &claim(Some(1))), LeaseVerdict::Void);
+    assert_eq!(
+        put(&mut lease, 3, 2, &claim(Some(1))),
+        LeaseVerdict::NoEffect
+    );
 }
 
 #[test]
@@ -79,13 +85,13 @@
     let mut lease = Lease::default();
     put(&mut lease, 0, 1, &claim(None));
     let release = LeaseBody::Release { fence: Offset(0) };
-    assert_eq!(put(&mut lease, 1, 2, &release), LeaseVerdict::Void);
+    assert_eq!(put(&mut lease, 1, 2, &release), LeaseVerdict::NoEffect);
     assert_eq!(put(&mut lease, 2, 1, &release), LeaseVerdict::Released);
     assert_eq!(
         put(&mut lease, 3, 2, &claim(None)),
-        LeaseVerdict::Taken(Offset(3))
+        LeaseVerdict::Acquired(Offset(3))
     );
-    assert_eq!(put(&mut lease, 4, 1, &release), LeaseVerdict::Void);
+    assert_eq!(put(&mut lease, 4, 1, &release), LeaseVerdict::NoEffect);
 }
 
 /// Found by `faults`, seed 3: challenges piled up without bound.
--- a/crates/log/src/budget.rs
+++ b/crates/log/src/budget.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes one append if the budget allows it now.
-    pub fn take(&mut self, now: Millis) -> bool {
+    pub fn try_take(&mut self, now: Millis) -> bool {
         let gained = now.since(self.last).saturating_mul(self.rate);
         self.last = self.last.max(now);
         self.level = (self.level + gained).min(self.rate * BURST_MS);
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's append-only log, as the only arbiter.
 //!
 //! * [`LogService`] is the border to the platform: append, read, and what may go wrong.
-//! * [`Machine`] is a state that is replayed from a stream of the log. Whether a record
+//! * [`StateMachine`] is a state that is replayed from a stream of the log. Whether a record
 //!   is valid is decided by the replay at its offset, so every reader agrees.
 //! * [`Replica`] drives a machine: it forms batches within an [`AppendBudget`], repeats an
 //!   append whose answer was lost under the same identity, applies what it reads in
@@ -21,6 +21,6 @@
 pub use budget::AppendBudget;
 pub use record::{Identity, Priority, Record, RECORD_VERSION};
 pub use replica::{Committed, Halt, Replica, Ticket};
-pub use service::{Appended, LogError, LogService, ReadBatch, StoredRecord};
+pub use service::{AppendOutcome, LogError, LogService, ReadBatch, StoredRecord};
 pub use snapshot::{pick_snapshot, Snapshot, CHUNK_BYTES};
-pub use state::{Machine, Position, State};
+pub use state::{Position, State, StateMachine};
--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -1,8 +1,8 @@
 //! Drives a machine from the log: batches, repeats, replay, verdicts.
 
 use crate::{
-    AppendBudget, Appended, Identity, Machine, Priority, ReadBatch, Record, Snapshot, State,
-    RECORD_VERSION,
+    AppendBudget, AppendOutcome, Identity, Priority, ReadBatch, Record, Snapshot, State,
+    StateMachine, RECORD_VERSION,
 };
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Millis, Offset, Safeguard, WriterId};
@@ -72,7 +72,7 @@
 /// One batch is on its way at a time, and the next is formed only once the last one was
 /// read back. So a writer's records land in order, and one number per writer is enough
 /// to know a repeat.
-pub struct Replica<M: Machine> {
+pub struct Replica<M: StateMachine> {
     writer: WriterId,
     seq: u64,
     tickets: u64,
@@ -83,10 +83,10 @@
     resolved: BTreeSet<Ticket>,
     done: Vec<Committed<M::Verdict>>,
     halt: Option<Halt>,
-    snapped: Offset,
+    snapshot_offset: Offset,
 }
 
-impl<M: Machine> Replica<M> {
+impl<M: StateMachine> Replica<M> {
     /// A replica at the start of its stream.
     #[must_use]
     pub fn new(writer: WriterId) -> Self {
@@ -100,7 +100,7 @@
             resolved: BTreeSet::new(),
             done: Vec::new(),
             halt: None,
-            snapped: Offset(0),
+            snapshot_offset: Offset(0),
         }
     }
 
@@ -136,16 +136,16 @@
 
     /// Up to where the newest snapshot known reaches.
     #[must_use]
-    pub fn snapped(&self) -> Offset {
-        self.snapped
+    pub fn snapshot_offset(&self) -> Offset {
+        self.snapshot_offset
     }
 
     /// Notes that a snapshot reaches to `covers`.
-    pub fn note_snapshot(&mut self, covers: Offset) {
-        self.snapped = self.snapped.max(covers);
+    pub fn record_snapshot(&mut self, covers: Offset) {
+        self.snapshot_offset = self.snapshot_offset.max(covers);
     }
 
-    /// Queues a record; the verdict comes through [`Replica::take_done`].
+    /// Queues a record; the verdict comes through [`Replica::take_committed`].
     pub fn submit(&mut self, priority: Priority, body: M::Body) -> Ticket {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
@@ -171,7 +171,7 @@
             return None;
         }
         let waits = |f: &Flight<M::Body>| f.calling || now < f.retry_at;
-        if self.flight.as_ref().is_some_and(waits) || !budget.take(now) {
+        if self.flight.as_ref().is_some_and(waits) || !budget.try_take(now) {
             return None;
         }
         if self.flight.is_none() {
@@ -217,14 +217,14 @@
 
     /// Reports how the last append ended. Without an answer it is repeated under the
     /// same identity until it is read back.
-    pub fn on_append(&mut self, now: Millis, result: Appended) {
+    pub fn on_append(&mut self, now: Millis, result: AppendOutcome) {
         let Some(flight) = self.flight.as_mut() else {
             return;
         };
         flight.calling = false;
         flight.retry_at = now.plus(flight.backoff);
         flight.backoff = (flight.backoff * 2).min(RETRY_LIMIT);
-        if result == Appended::At(self.state.next()) {
+        if result == AppendOutcome::At(self.state.next()) {
             let texts: Vec<String> = flight.records.iter().map(|r| r.text.clone()).collect();
             for text in texts {
                 if self.apply(&text).is_err() {
@@ -242,14 +242,14 @@
         if let Some(halt) = self.halt {
             return Err(halt);
         }
-        if batch.oldest > self.next() && Safeguard::GapCheck.active() {
+        if batch.oldest > self.next() && Safeguard::GapCheck.is_active() {
             return self.stop(Halt::Gap(self.next()));
         }
         for record in &batch.records {
             if record.offset < self.next() {
                 continue;
             }
-            if record.offset > self.next() && Safeguard::GapCheck.active() {
+            if record.offset > self.next() && Safeguard::GapCheck.is_active() {
                 return self.stop(Halt::Gap(self.next()));
             }
             self.apply(&record.text)?;
@@ -273,7 +273,7 @@
     }
 
     /// Stops for good: an invariant did not hold while a record was applied.
-    pub fn stop_broken(&mut self) -> Halt {
+    pub fn halt_broken(&mut self) -> Halt {
         self.halt = Some(Halt::Broken);
         Halt::Broken
     }
@@ -318,7 +318,10 @@
             self.done.push(Committed {
                 ticket: record.ticket,
                 offset: self.state.next(),
-                verdict: self.state.machine().recall(self.writer, &record.body),
+                verdict: self
+                    .state
+                    .machine()
+                    .recover_verdict(self.writer, &record.body),
             });
             self.resolved.insert(record.ticket);
         }
@@ -329,7 +332,7 @@
     }
 
     /// The verdicts that have come since the last call.
-    pub fn take_done(&mut self) -> Vec<Committed<M::Verdict>> {
+    pub fn take_committed(&mut self) -> Vec<Committed<M::Verdict>> {
         std::mem::take(&mut self.done)
     }
 
@@ -342,8 +345,8 @@
     /// Takes a snapshot's state if it reaches further than what has been applied.
     /// Returns whether it did. A halt by a gap ends if the snapshot reaches beyond it.
     pub fn restore(&mut self, snapshot: &Snapshot) -> bool {
-        self.note_snapshot(snapshot.covers());
-        let further = snapshot.covers() > self.next() || !Safeguard::SnapshotChoice.active();
+        self.record_snapshot(snapshot.covers());
+        let further = snapshot.covers() > self.next() || !Safeguard::SnapshotChoice.is_active();
         let Some(state) = snapshot.to_state::<M>().filter(|_| further) else {
             return false;
         };
--- a/crates/log/src/service.rs
+++ b/crates/log/src/service.rs
@@ -7,7 +7,7 @@
 
 /// How an append ended, as far as the writer can know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Appended {
+pub enum AppendOutcome {
     /// The records stand in the log, the first of them at this offset.
     At(Offset),
     /// The service refused; the append had and will have no effect.
@@ -56,7 +56,7 @@
         &'a self,
         stream: &'a Stream,
         records: &'a [String],
-    ) -> LocalBoxFuture<'a, Appended>;
+    ) -> LocalBoxFuture<'a, AppendOutcome>;
 
     /// Reads from `from` on, waiting up to `wait` for a first record.
     ///
--- a/crates/log/src/snapshot.rs
+++ b/crates/log/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! Snapshots: chunked, checksummed and deterministic.
 
-use crate::{Machine, State, StoredRecord};
+use crate::{State, StateMachine, StoredRecord};
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Offset, Safeguard};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 }
 
 impl Snapshot {
-    pub(crate) fn from_state<M: Machine>(state: &State<M>) -> Self {
+    pub(crate) fn from_state<M: StateMachine>(state: &State<M>) -> Self {
         let text = serde_json::to_string(state).expect("states serialize");
         Self {
             covers: state.next(),
@@ -50,7 +50,7 @@
 
     /// The state, or `None` where the text is damaged or of another shape.
     #[must_use]
-    pub fn to_state<M: Machine>(&self) -> Option<State<M>> {
+    pub fn to_state<M: StateMachine>(&self) -> Option<State<M>> {
         if crc32fast::hash(self.text.as_bytes()) != self.crc {
             return None;
         }
@@ -108,7 +108,7 @@
         last = Some(key);
         found.entry(key).or_default().insert(chunk.part, chunk);
     }
-    if !Safeguard::SnapshotChoice.active() {
+    if !Safeguard::SnapshotChoice.is_active() {
         return found.remove(&last?).and_then(assemble);
     }
     found.into_values().rev().find_map(assemble)
--- a/crates/log/src/state.rs
+++ b/crates/log/src/state.rs
@@ -28,7 +28,7 @@
 
 /// A state that is replayed from a stream. `apply` must be deterministic: it is the
 /// only judge of whether a record is valid.
-pub trait Machine: Default + Serialize + DeserializeOwned {
+pub trait StateMachine: Default + Serialize + DeserializeOwned {
     /// What its records say.
     type Body: Serialize + DeserializeOwned + Clone;
     /// What the writer of a record learns.
@@ -39,11 +39,11 @@
 
     /// The verdict on a record of `writer` that this state holds already, because the
     /// state came from a snapshot and the record was never applied here.
-    fn recall(&self, writer: WriterId, body: &Self::Body) -> Self::Verdict;
+    fn recover_verdict(&self, writer: WriterId, body: &Self::Body) -> Self::Verdict;
 }
 
 /// A record that was applied for the first time.
-pub(crate) struct Applied<M: Machine> {
+pub(crate) struct Applied<M: StateMachine> {
     pub(crate) id: Identity,
     pub(crate) verdict: M::Verdict,
 }
@@ -63,7 +63,7 @@
     machine: M,
 }
 
-impl<M: Machine> State<M> {
+impl<M: StateMachine> State<M> {
     /// The offset of the next record to apply.
     #[must_use]
     pub fn next(&self) -> Offset {
@@ -102,7 +102,7 @@
         let record: Record<M::Body> = serde_json::from_str(text).map_err(|_| Halt::Malformed)?;
         let offset = self.next;
         self.next = offset.plus(1);
-        if self.is_repeat(&record) && Safeguard::RecordIdentity.active() {
+        if self.is_repeat(&record) && Safeguard::RecordIdentity.is_active() {
             return Ok(None);
         }
         let last = LastSeen {
--- a/crates/log/tests/replica.rs
+++ b/crates/log/tests/replica.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 use shaleline_log::{
-    pick_snapshot, AppendBudget, Appended, Halt, Machine, Position, Priority, ReadBatch, Replica,
-    StoredRecord,
+    pick_snapshot, AppendBudget, AppendOutcome, Halt, Position, Priority, ReadBatch, Replica,
+    StateMachine, StoredRecord,
 };
 use shaleline_types::{Millis, Offset, WriterId};
 
@@ -14,7 +14,7 @@
     applied: Vec<u64>,
 }
 
-impl Machine for Sum {
+impl StateMachine for Sum {
     type Body = u64;
     type Verdict = u64;
 
@@ -24,7 +24,7 @@
         self.total
     }
 
-    fn recall(&self, _writer: WriterId, body: &u64) -> u64 {
+    fn recover_verdict(&self, _writer: WriterId, body: &u64) -> u64 {
         self.applied.iter().filter(|b| *b == body).count() as u64
     }
 }
@@ -58,8 +58,8 @@
 fn an_answered_append_is_applied_without_a_read() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
     submitted(&mut replica, 5);
-    replica.on_append(NOW, Appended::At(Offset(0)));
-    assert_eq!(replica.take_done()[0].verdict, 5);
+    replica.on_append(NOW, AppendOutcome::At(Offset(0)));
+    assert_eq!(replica.take_committed()[0].verdict, 5);
     assert_eq!(replica.next(), Offset(1));
 }
 
@@ -67,7 +67,7 @@
 fn an_append_without_an_answer_is_repeated_under_the_same_identity() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
     let first = submitted(&mut replica, 5);
-    replica.on_append(NOW, Appended::Lost);
+    replica.on_append(NOW, AppendOutcome::Lost);
     assert!(
         replica.next_append(NOW, NOW, &mut budget()).is_none(),
         "not at once"
@@ -81,11 +81,11 @@
 fn a_record_that_landed_twice_takes_effect_once() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
     let text = submitted(&mut replica, 5).remove(0);
-    replica.on_append(NOW, Appended::Lost);
+    replica.on_append(NOW, AppendOutcome::Lost);
     let both = [text.clone(), text];
     assert_eq!(replica.on_read(&batch(0, &both)), Ok(()));
     assert_eq!(replica.machine().total, 5);
-    assert_eq!(replica.take_done().len(), 1);
+    assert_eq!(replica.take_committed().len(), 1);
     assert_eq!(replica.pending(), 0);
 }
 
@@ -111,7 +111,7 @@
     for body in bodies {
         submitted(&mut replica, *body);
         let at = replica.next();
-        replica.on_append(NOW, Appended::At(at));
+        replica.on_append(NOW, AppendOutcome::At(at));
     }
     replica
 }
@@ -140,7 +140,7 @@
         }
         big.next_append(NOW, NOW, &mut budget());
         let at = big.next();
-        big.on_append(NOW, Appended::At(at));
+        big.on_append(NOW, AppendOutcome::At(at));
     }
     let mut torn = big.to_snapshot().to_chunks();
     assert!(torn.len() > 1, "it has several chunks");
@@ -182,13 +182,13 @@
 fn regression_a_batch_that_a_restored_snapshot_holds_is_settled() {
     let mut writer: Replica<Sum> = Replica::new(WriterId(1));
     let texts = submitted(&mut writer, 5);
-    writer.on_append(NOW, Appended::Lost);
+    writer.on_append(NOW, AppendOutcome::Lost);
     let mut other: Replica<Sum> = Replica::new(WriterId(2));
     assert_eq!(other.on_read(&batch(0, &texts)), Ok(()));
     assert!(writer.restore(&other.to_snapshot()));
     assert_eq!(writer.pending(), 0);
     assert_eq!(
-        writer.take_done()[0].verdict,
+        writer.take_committed()[0].verdict,
         1,
         "the verdict is recalled from the state"
     );
@@ -220,7 +220,7 @@
     let mut budget = AppendBudget::new(10, Millis(0));
     let mut taken = 0;
     for ms in 0..10_000 {
-        taken += u64::from(budget.take(Millis(ms)));
+        taken += u64::from(budget.try_take(Millis(ms)));
     }
     assert!(
         (100..=110).contains(&taken),
--- a/crates/once/src/attempt.rs
+++ b/crates/once/src/attempt.rs
@@ -1,11 +1,11 @@
 //! What the daemon that serves a keyed request does, step by step.
 
-use crate::{KeptAnswer, OnceBody, OnceKey, OnceVerdict, KEPT_BYTES};
+use crate::{KeptAnswer, OnceBody, OnceKey, OnceVerdict, MAX_KEPT_BODY_BYTES};
 use shaleline_types::{ErrorKind, Millis, RequestId, Safeguard, WriterId};
 
 /// How a send to the upstream ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// A whole answer came.
     Answered(KeptAnswer),
     /// The connection failed before a byte of the request was written.
@@ -24,7 +24,7 @@
     /// The replay judged this attempt's `begun`.
     Judged(OnceVerdict),
     /// The send ended.
-    Sent(SendEnd),
+    Sent(SendOutcome),
     /// Another attempt that held the key has finished.
     OtherFinished(KeptAnswer),
     /// Another attempt that held the key has given up without sending.
@@ -143,7 +143,7 @@
             request: self.request.clone(),
         };
         let mut actions = vec![AttemptAction::Append(begun)];
-        if !Safeguard::BegunReplay.active() {
+        if !Safeguard::BegunReplay.is_active() {
             self.phase = Phase::Sending;
             actions.push(AttemptAction::Send);
         }
@@ -156,15 +156,15 @@
                 self.phase = Phase::Sending;
                 vec![AttemptAction::Send]
             }
-            OnceVerdict::Taken { writer } => {
+            OnceVerdict::InProgress { writer } => {
                 self.phase = Phase::Watching;
                 vec![AttemptAction::Watch(writer)]
             }
-            OnceVerdict::Kept(answer) => self.answer(answer, true),
+            OnceVerdict::Finished(answer) => self.answer(answer, true),
             OnceVerdict::Lost => self.fail(ErrorKind::OutcomeUnknown),
             OnceVerdict::Mismatch => self.fail(ErrorKind::KeyConflict),
             OnceVerdict::Full => self.fail(ErrorKind::JournalFull),
-            OnceVerdict::Dead | OnceVerdict::Noted | OnceVerdict::Void => {
+            OnceVerdict::Abandoned | OnceVerdict::Recorded | OnceVerdict::NoEffect => {
                 self.fail(ErrorKind::LogUnavailable)
             }
         }
@@ -182,7 +182,7 @@
 
     fn on_late_verdict(&mut self, verdict: &OnceVerdict) -> Vec<AttemptAction> {
         self.phase = Phase::Done;
-        let revived = *verdict == OnceVerdict::Granted && !Safeguard::DeadAttempt.active();
+        let revived = *verdict == OnceVerdict::Granted && !Safeguard::DeadAttempt.is_active();
         if revived {
             self.phase = Phase::Sending;
             return vec![AttemptAction::Send];
@@ -190,9 +190,9 @@
         Vec::new()
     }
 
-    fn on_sent(&mut self, end: SendEnd) -> Vec<AttemptAction> {
+    fn on_sent(&mut self, end: SendOutcome) -> Vec<AttemptAction> {
         match end {
-            SendEnd::Answered(answer) => {
+            SendOutcome::Answered(answer) => {
                 let finished = OnceBody::Finished {
                     key: self.key.clone(),
                     attempt: self.id,
@@ -202,12 +202,12 @@
                 actions.push(AttemptAction::Append(finished));
                 actions
             }
-            SendEnd::NotSent => {
+            SendOutcome::NotSent => {
                 let mut actions = self.fail(ErrorKind::NoUpstream);
                 actions.push(AttemptAction::Append(self.abandoned()));
                 actions
             }
-            SendEnd::Unknown => self.lose(ErrorKind::UpstreamFailed),
+            SendOutcome::Unknown => self.lose(ErrorKind::UpstreamFailed),
         }
     }
 
@@ -241,7 +241,11 @@
 }
 
 fn bounded(mut answer: KeptAnswer) -> KeptAnswer {
-    if answer.body.as_ref().is_some_and(|b| b.len() > KEPT_BYTES) {
+    if answer
+        .body
+        .as_ref()
+        .is_some_and(|b| b.len() > MAX_KEPT_BODY_BYTES)
+    {
         answer.body = None;
     }
     answer
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -2,12 +2,12 @@
 
 use crate::OnceKey;
 use serde::{Deserialize, Serialize};
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_types::{Millis, Offset, RequestId, Safeguard, WriterId};
 use std::collections::BTreeMap;
 
 /// The largest answer that is kept. Of a larger one only the status is.
-pub const KEPT_BYTES: usize = 4_096;
+pub const MAX_KEPT_BODY_BYTES: usize = 4_096;
 
 /// What a shard may hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     pub status: u16,
     /// The content type.
     pub mime: String,
-    /// The body; `None` where it was larger than [`KEPT_BYTES`].
+    /// The body; `None` where it was larger than [`MAX_KEPT_BODY_BYTES`].
     pub body: Option<String>,
 }
 
@@ -101,12 +101,12 @@
     /// The attempt may send, once.
     Granted,
     /// Another attempt holds the key.
-    Taken {
+    InProgress {
         /// Who holds it.
         writer: WriterId,
     },
     /// It has run already.
-    Kept(KeptAnswer),
+    Finished(KeptAnswer),
     /// It may have run already.
     Lost,
     /// The key was used for another request.
@@ -114,11 +114,11 @@
     /// The journal is full.
     Full,
     /// The attempt was given up before its `begun` landed.
-    Dead,
+    Abandoned,
     /// Noted.
-    Noted,
+    Recorded,
     /// Without effect.
-    Void,
+    NoEffect,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -155,8 +155,8 @@
         match &entry.state {
             KeyState::Free => None,
             _ if other => Some(OnceVerdict::Mismatch),
-            KeyState::Begun { writer, .. } => Some(OnceVerdict::Taken { writer: *writer }),
-            KeyState::Finished(answer) => Some(OnceVerdict::Kept(answer.clone())),
+            KeyState::Begun { writer, .. } => Some(OnceVerdict::InProgress { writer: *writer }),
+            KeyState::Finished(answer) => Some(OnceVerdict::Finished(answer.clone())),
             KeyState::Lost => Some(OnceVerdict::Lost),
         }
     }
@@ -217,15 +217,15 @@
             self.insert(at, key, request, begun);
             return OnceVerdict::Granted;
         };
-        if Safeguard::DeadAttempt.active() && entry.dead.contains(&(at.writer, attempt)) {
-            return OnceVerdict::Dead;
+        if Safeguard::DeadAttempt.is_active() && entry.dead.contains(&(at.writer, attempt)) {
+            return OnceVerdict::Abandoned;
         }
         if entry.state == KeyState::Free {
             entry.state = begun;
             entry.request = request.to_owned();
             return OnceVerdict::Granted;
         }
-        self.known(key, request).unwrap_or(OnceVerdict::Void)
+        self.known(key, request).unwrap_or(OnceVerdict::NoEffect)
     }
 
     fn end(
@@ -236,17 +236,17 @@
         state: KeyState,
     ) -> OnceVerdict {
         let Some(entry) = self.keys.get_mut(key) else {
-            return OnceVerdict::Void;
+            return OnceVerdict::NoEffect;
         };
         let own = KeyState::Begun {
             writer: at.writer,
             attempt,
         };
         if entry.state != own {
-            return OnceVerdict::Void;
+            return OnceVerdict::NoEffect;
         }
         entry.state = state;
-        OnceVerdict::Noted
+        OnceVerdict::Recorded
     }
 
     fn abandon(&mut self, at: Position, key: &OnceKey, attempt: RequestId) -> OnceVerdict {
@@ -257,7 +257,7 @@
             self.insert(at, key, "", KeyState::Free);
         }
         let Some(entry) = self.keys.get_mut(key) else {
-            return OnceVerdict::Void;
+            return OnceVerdict::NoEffect;
         };
         entry.dead.push((at.writer, attempt));
         let own = KeyState::Begun {
@@ -267,11 +267,11 @@
         if entry.state == own {
             entry.state = KeyState::Free;
         }
-        OnceVerdict::Noted
+        OnceVerdict::Recorded
     }
 }
 
-impl Machine for OnceMachine {
+impl StateMachine for OnceMachine {
     type Body = OnceBody;
     type Verdict = OnceVerdict;
 
@@ -295,14 +295,14 @@
 
     /// The permission to send is still this attempt's if the key's state says so: whoever
     /// holds it has not been told yet, so it has not been used.
-    fn recall(&self, writer: WriterId, body: &OnceBody) -> OnceVerdict {
+    fn recover_verdict(&self, writer: WriterId, body: &OnceBody) -> OnceVerdict {
         let OnceBody::Begun {
             key,
             attempt,
             request,
         } = body
         else {
-            return OnceVerdict::Noted;
+            return OnceVerdict::Recorded;
         };
         let own = KeyState::Begun {
             writer,
@@ -311,6 +311,6 @@
         if self.get(key) == Some(&own) {
             return OnceVerdict::Granted;
         }
-        self.known(key, request).unwrap_or(OnceVerdict::Void)
+        self.known(key, request).unwrap_or(OnceVerdict::NoEffect)
     }
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -11,8 +11,8 @@
 mod journal;
 mod key;
 
-pub use attempt::{Attempt, AttemptAction, AttemptEvent, SendEnd};
+pub use attempt::{Attempt, AttemptAction, AttemptEvent, SendOutcome};
 pub use journal::{
-    KeptAnswer, KeyState, OnceBody, OnceLimits, OnceMachine, OnceVerdict, KEPT_BYTES,
+    KeptAnswer, KeyState, OnceBody, OnceLimits, OnceMachine, OnceVerdict, MAX_KEPT_BODY_BYTES,
 };
 pub use key::OnceKey;
--- a/crates/once/tests/once.rs
+++ b/crates/once/tests/once.rs
@@ -1,9 +1,9 @@
 //! At most once.
 
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_once::{
     Attempt, AttemptAction, AttemptEvent, KeptAnswer, KeyState, OnceBody, OnceKey, OnceMachine,
-    OnceVerdict, SendEnd, KEPT_BYTES,
+    OnceVerdict, SendOutcome, MAX_KEPT_BODY_BYTES,
 };
 use shaleline_testkit::cases;
 use shaleline_types::{ErrorKind, Millis, Offset, Org, RequestId, WriterId};
@@ -70,19 +70,19 @@
 fn of_two_daemons_that_begin_one_is_granted() {
     let mut m = OnceMachine::default();
     assert_eq!(put(&mut m, 0, 1, &begun("k", 1, "r")), OnceVerdict::Granted);
-    let taken = OnceVerdict::Taken {
+    let taken = OnceVerdict::InProgress {
         writer: WriterId(1),
     };
     assert_eq!(put(&mut m, 1, 2, &begun("k", 1, "r")), taken);
     assert_eq!(
         put(&mut m, 2, 2, &finished("k", 1)),
-        OnceVerdict::Void,
+        OnceVerdict::NoEffect,
         "it did not send"
     );
-    assert_eq!(put(&mut m, 3, 1, &finished("k", 1)), OnceVerdict::Noted);
+    assert_eq!(put(&mut m, 3, 1, &finished("k", 1)), OnceVerdict::Recorded);
     assert_eq!(
         put(&mut m, 4, 2, &begun("k", 2, "r")),
-        OnceVerdict::Kept(answer("done"))
+        OnceVerdict::Finished(answer("done"))
     );
 }
 
@@ -101,8 +101,11 @@
 fn an_abandoned_key_may_begin_afresh_but_not_by_the_dead_attempt() {
     let mut m = OnceMachine::default();
     put(&mut m, 0, 1, &begun("k", 1, "r"));
-    assert_eq!(put(&mut m, 1, 1, &abandoned("k", 1)), OnceVerdict::Noted);
-    assert_eq!(put(&mut m, 2, 1, &begun("k", 1, "r")), OnceVerdict::Dead);
+    assert_eq!(put(&mut m, 1, 1, &abandoned("k", 1)), OnceVerdict::Recorded);
+    assert_eq!(
+        put(&mut m, 2, 1, &begun("k", 1, "r")),
+        OnceVerdict::Abandoned
+    );
     assert_eq!(
         put(&mut m, 3, 2, &begun("k", 1, "r")),
         OnceVerdict::Granted,
@@ -113,8 +116,11 @@
 #[test]
 fn an_abandonment_that_lands_first_keeps_the_attempt_dead() {
     let mut m = OnceMachine::default();
-    assert_eq!(put(&mut m, 0, 1, &abandoned("k", 1)), OnceVerdict::Noted);
-    assert_eq!(put(&mut m, 1, 1, &begun("k", 1, "r")), OnceVerdict::Dead);
+    assert_eq!(put(&mut m, 0, 1, &abandoned("k", 1)), OnceVerdict::Recorded);
+    assert_eq!(
+        put(&mut m, 1, 1, &begun("k", 1, "r")),
+        OnceVerdict::Abandoned
+    );
     assert_eq!(m.get(&key("k")), Some(&KeyState::Free));
 }
 
@@ -126,7 +132,7 @@
         key: key("k"),
         attempt: RequestId(1),
     };
-    assert_eq!(put(&mut m, 1, 1, &lost), OnceVerdict::Noted);
+    assert_eq!(put(&mut m, 1, 1, &lost), OnceVerdict::Recorded);
     assert_eq!(put(&mut m, 2, 2, &begun("k", 2, "r")), OnceVerdict::Lost);
 }
 
@@ -184,26 +190,26 @@
 }
 
 fn taken() -> AttemptEvent {
-    AttemptEvent::Judged(OnceVerdict::Taken {
+    AttemptEvent::Judged(OnceVerdict::InProgress {
         writer: WriterId(2),
     })
 }
 
 cases! { kinds;
     a_call_that_goes_well: vec![
-        AttemptEvent::Start, granted(), AttemptEvent::Sent(SendEnd::Answered(answer("a"))),
+        AttemptEvent::Start, granted(), AttemptEvent::Sent(SendOutcome::Answered(answer("a"))),
     ] => ["begun", "send", "answer kept=false", "finished"],
     a_call_that_was_not_sent: vec![
-        AttemptEvent::Start, granted(), AttemptEvent::Sent(SendEnd::NotSent),
+        AttemptEvent::Start, granted(), AttemptEvent::Sent(SendOutcome::NotSent),
     ] => ["begun", "send", "fail no-upstream", "abandoned"],
     a_call_whose_answer_is_lost: vec![
-        AttemptEvent::Start, granted(), AttemptEvent::Sent(SendEnd::Unknown),
+        AttemptEvent::Start, granted(), AttemptEvent::Sent(SendOutcome::Unknown),
     ] => ["begun", "send", "fail upstream-failed", "lost"],
     a_call_given_up_while_begun_is_on_its_way_never_sends: vec![
         AttemptEvent::Start, AttemptEvent::Deadline, granted(),
     ] => ["begun", "fail log-unavailable", "abandoned"],
     a_repeat_of_a_finished_call: vec![
-        AttemptEvent::Known(OnceVerdict::Kept(answer("a"))),
+        AttemptEvent::Known(OnceVerdict::Finished(answer("a"))),
     ] => ["answer kept=true"],
     a_repeat_during_the_run: vec![
         AttemptEvent::Start, taken(), AttemptEvent::OtherFinished(answer("a")),
@@ -216,7 +222,7 @@
     ] => ["begun", "watch", "fail outcome-unknown"],
     a_late_answer_after_the_end_is_dropped: vec![
         AttemptEvent::Start, granted(), AttemptEvent::Deadline,
-        AttemptEvent::Sent(SendEnd::Answered(answer("a"))),
+        AttemptEvent::Sent(SendOutcome::Answered(answer("a"))),
     ] => ["begun", "send", "fail timed-out", "lost"],
 }
 
@@ -225,9 +231,9 @@
     let mut attempt = Attempt::new(key("k"), RequestId(1), "r".to_owned());
     attempt.step(AttemptEvent::Start, Millis(0));
     attempt.step(granted(), Millis(0));
-    let large = answer(&"x".repeat(KEPT_BYTES + 1));
+    let large = answer(&"x".repeat(MAX_KEPT_BODY_BYTES + 1));
     let actions = attempt.step(
-        AttemptEvent::Sent(SendEnd::Answered(large.clone())),
+        AttemptEvent::Sent(SendOutcome::Answered(large.clone())),
         Millis(0),
     );
     assert_eq!(
--- a/crates/place/src/book.rs
+++ b/crates/place/src/book.rs
@@ -61,7 +61,7 @@
     /// Memory promised in the worst case: everything ordered and not known to be gone.
     #[must_use]
     pub fn used(&self) -> Megabytes {
-        let counts = |s: &&Slot| Safeguard::WorstCase.active() || s.state == SlotState::Resident;
+        let counts = |s: &&Slot| Safeguard::WorstCase.is_active() || s.state == SlotState::Resident;
         Megabytes(self.slots.values().filter(counts).map(|s| s.size.0).sum())
     }
 
--- a/crates/place/src/dispatch.rs
+++ b/crates/place/src/dispatch.rs
@@ -154,7 +154,7 @@
         };
         let mut bodies: Vec<CellBody> = steps.iter().map(|s| s.to_body(fence)).collect();
         bodies.retain(|b| self.claim_subject(b));
-        if !Safeguard::IntentFirst.active() {
+        if !Safeguard::IntentFirst.is_active() {
             for body in &bodies {
                 self.ready.extend(order_of(body, Offset(u64::MAX >> 1)));
             }
--- a/crates/place/src/machine.rs
+++ b/crates/place/src/machine.rs
@@ -3,7 +3,7 @@
 use crate::{EngineBook, Item, Slot, SlotState};
 use serde::{Deserialize, Serialize};
 use shaleline_lease::{Lease, LeaseBody, LeaseVerdict};
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_types::{Megabytes, Offset, Safeguard, Upstream, WriterId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -212,7 +212,7 @@
         book.slots.insert(item.clone(), slot);
         let used: u64 = book.slots.values().map(|s| s.size.0).sum();
         assert!(
-            used <= book.memory.0 || !Safeguard::WorstCase.active(),
+            used <= book.memory.0 || !Safeguard::WorstCase.is_active(),
             "no memory is promised beyond what the accelerator holds"
         );
         CellVerdict::Granted(at)
@@ -220,7 +220,7 @@
 
     fn unload(&mut self, at: Offset, engine: &Upstream, item: &Item, retired: bool) -> CellVerdict {
         let last = self.replicas(item) <= 1;
-        if last && !retired && Safeguard::LastReplica.active() {
+        if last && !retired && Safeguard::LastReplica.is_active() {
             return CellVerdict::LastReplica;
         }
         let Some(book) = self.engines.get_mut(engine) else {
@@ -442,7 +442,7 @@
     }
 }
 
-impl Machine for CellMachine {
+impl StateMachine for CellMachine {
     type Body = CellBody;
     type Verdict = CellVerdict;
 
@@ -458,12 +458,12 @@
     }
 
     /// What a record brought about shows in the ledger; only a claim has to be told.
-    fn recall(&self, writer: WriterId, body: &CellBody) -> CellVerdict {
+    fn recover_verdict(&self, writer: WriterId, body: &CellBody) -> CellVerdict {
         match (body, self.lease.fence_of(writer)) {
             (CellBody::Lease(LeaseBody::Claim { .. }), Some(fence)) => {
-                CellVerdict::Lease(LeaseVerdict::Taken(fence))
+                CellVerdict::Lease(LeaseVerdict::Acquired(fence))
             }
-            (CellBody::Lease(_), _) => CellVerdict::Lease(LeaseVerdict::Void),
+            (CellBody::Lease(_), _) => CellVerdict::Lease(LeaseVerdict::NoEffect),
             _ => CellVerdict::Void,
         }
     }
--- a/crates/place/tests/ledger.rs
+++ b/crates/place/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger and the orders.
 
 use shaleline_lease::LeaseBody;
-use shaleline_log::{Machine, Position};
+use shaleline_log::{Position, StateMachine};
 use shaleline_place::{
     CellBody, CellMachine, CellVerdict, Demand, Dispatcher, EngineReport, EngineView, Item,
     OrderEnd, OrderKind, Plan, Planner, Policy, Resident, SlotState, Step, Want, Wanted,
--- a/crates/route/src/apart.rs
+++ b/crates/route/src/apart.rs
@@ -14,7 +14,9 @@
 use crate::crashes::{CrashNote, Crashes, MOST_ENDS};
 use crate::upstream::Back;
 use crate::{Ask, RouteAction, Router};
-use shaleline_types::{ErrorKind, Fingerprint, Identity, Millis, RequestId, StartTag, Upstream};
+use shaleline_types::{
+    ErrorKind, Fingerprint, Identity, IncarnationTag, Millis, RequestId, Upstream,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request under which so many upstreams ended runs apart from others of its kind.
@@ -130,7 +132,7 @@
     pub(crate) fn note_end(
         &mut self,
         identity: Option<Identity>,
-        start: StartTag,
+        start: IncarnationTag,
         now: Millis,
         out: &mut Vec<RouteAction>,
     ) {
--- a/crates/route/src/ask.rs
+++ b/crates/route/src/ask.rs
@@ -2,8 +2,8 @@
 
 use crate::{Limits, BLOCK_TOKENS};
 use shaleline_types::{
-    Adapter, DataCentre, ErrorKind, Identity, Millis, Model, Org, RequestId, Service, StartTag,
-    Upstream,
+    Adapter, DataCentre, ErrorKind, Identity, IncarnationTag, Millis, Model, Org, RequestId,
+    Service, Upstream,
 };
 use std::fmt;
 
@@ -153,7 +153,7 @@
     /// It failed after the request was written.
     Broken,
     /// The upstream itself ended under it.
-    UpstreamEnded(StartTag),
+    UpstreamEnded(IncarnationTag),
     /// The caller went away.
     Cancelled,
 }
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -12,7 +12,7 @@
 //! twice or late, and all who have heard the same know the same.
 
 use serde::{Deserialize, Serialize};
-use shaleline_types::{Fingerprint, Identity, Millis, StartTag};
+use shaleline_types::{Fingerprint, Identity, IncarnationTag, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request under which so many upstreams ended is not sent any more. Each costs the answers of
@@ -46,9 +46,9 @@
     /// The request.
     pub identity: Identity,
     /// The starts of upstreams that ended under it.
-    pub ended: BTreeSet<StartTag>,
+    pub ended: BTreeSet<IncarnationTag>,
     /// Those of them that no longer count.
-    pub cleared: BTreeSet<StartTag>,
+    pub cleared: BTreeSet<IncarnationTag>,
     /// How long ago the last of this happened, in milliseconds.
     pub age: u32,
 }
@@ -56,14 +56,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Known {
     caller: u64,
-    ended: BTreeSet<StartTag>,
-    cleared: BTreeSet<StartTag>,
+    ended: BTreeSet<IncarnationTag>,
+    cleared: BTreeSet<IncarnationTag>,
     /// When an end was last noted or cleared.
     since: Millis,
 }
 
 impl Known {
-    fn live(&self) -> impl Iterator<Item = &StartTag> {
+    fn live(&self) -> impl Iterator<Item = &IncarnationTag> {
         self.ended.difference(&self.cleared)
     }
 
@@ -78,7 +78,7 @@
     /// The request.
     pub request: Fingerprint,
     /// The starts of upstreams that ended under it and count.
-    pub ended: Vec<StartTag>,
+    pub ended: Vec<IncarnationTag>,
     /// How long ago the last of them ended.
     pub age: Millis,
 }
@@ -101,7 +101,7 @@
     pub fn on_end(
         &mut self,
         identity: Identity,
-        start: StartTag,
+        start: IncarnationTag,
         now: Millis,
     ) -> Option<CrashNote> {
         let start = self.distinct(&identity.request, start, now);
@@ -117,7 +117,12 @@
 
     /// The start that ended now, where one of the same tag ended before: it has started again, and
     /// whoever saw it end had not heard of that.
-    fn distinct(&self, request: &Fingerprint, start: StartTag, now: Millis) -> StartTag {
+    fn distinct(
+        &self,
+        request: &Fingerprint,
+        start: IncarnationTag,
+        now: Millis,
+    ) -> IncarnationTag {
         let Some(known) = self.known.get(request) else {
             return start;
         };
--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -79,7 +79,7 @@
                 let flushed = left.records == 0;
                 let done = idle.is_some_and(|i| flushed || now.since(i) >= RECORDS_WAIT);
                 let over = now.since(since) >= self.limit.0;
-                if !done && !over && Safeguard::DrainStop.active() {
+                if !done && !over && Safeguard::DrainStop.is_active() {
                     return None;
                 }
                 self.phase = Phase::Exited;
--- a/crates/route/src/ending.rs
+++ b/crates/route/src/ending.rs
@@ -13,7 +13,7 @@
         let current = self
             .open
             .get(&id)
-            .is_some_and(|o| o.attempt == attempt || !Safeguard::AttemptMatch.active());
+            .is_some_and(|o| o.attempt == attempt || !Safeguard::AttemptMatch.is_active());
         self.stats.late += u64::from(!current);
         current
     }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -329,7 +329,7 @@
             return;
         };
         assert!(
-            !back.is_leaving() || !Safeguard::LeavingStop.active(),
+            !back.is_leaving() || !Safeguard::LeavingStop.is_active(),
             "a leaving upstream gets no new work"
         );
         self.turn += 1;
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -220,7 +220,7 @@
 
     /// Whether one more request may be sent.
     pub(crate) fn has_room(&self, now: Millis) -> bool {
-        if self.is_leaving() && shaleline_types::Safeguard::LeavingStop.active() {
+        if self.is_leaving() && shaleline_types::Safeguard::LeavingStop.is_active() {
             return false;
         }
         match self.breaker.gate(now) {
--- a/crates/route/tests/crashes.rs
+++ b/crates/route/tests/crashes.rs
@@ -7,8 +7,8 @@
 };
 use shaleline_testkit::cases;
 use shaleline_types::{
-    DataCentre, ErrorKind, Fingerprint, Identity, Incarnation, Millis, Org, RequestId, Service,
-    StartTag, Upstream,
+    DataCentre, ErrorKind, Fingerprint, Identity, Incarnation, IncarnationTag, Millis, Org,
+    RequestId, Service, Upstream,
 };
 use std::collections::BTreeMap;
 
@@ -23,9 +23,9 @@
     Identity::of(caller, &[caller.as_bytes(), &number.to_le_bytes()])
 }
 
-fn start(number: u64) -> StartTag {
+fn start(number: u64) -> IncarnationTag {
     let name = Upstream::from_text(&format!("i-{number}")).expect("a valid name");
-    StartTag::of(&name, Incarnation::default())
+    IncarnationTag::of(&name, Incarnation::default())
 }
 
 fn end_many(crashes: &mut Crashes, identity: Identity, count: usize, now: Millis) {
--- a/crates/types/examples/tables.rs
+++ b/crates/types/examples/tables.rs
@@ -7,14 +7,14 @@
     println!("|---|---|---|---|---|---|");
     for kind in ErrorKind::ALL {
         let a = kind.answer();
-        let retry = a.retry.map_or("no".to_owned(), |r| r.to_string());
+        let retry_after = a.retry_after.map_or("no".to_owned(), |r| r.to_string());
         println!(
-            "| `{}` | {} | `{}` | {:?} | {retry} | {} |",
+            "| `{}` | {} | `{}` | {:?} | {retry_after} | {} |",
             a.code,
             a.status,
             a.outcome.as_str(),
-            kind.classify(),
-            kind.meaning()
+            kind.category(),
+            kind.description()
         );
     }
     println!("\n| number | name | text | level |");
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -54,11 +54,11 @@
     /// Whether the request ran.
     pub outcome: Outcome,
     /// When to come back, in milliseconds, where coming back makes sense.
-    pub retry: Option<Millis>,
+    pub retry_after: Option<Millis>,
 }
 
 macro_rules! kinds {
-    ($($kind:ident $code:literal $status:literal $outcome:ident $category:ident $retry:expr, $doc:literal;)+) => {
+    ($($kind:ident $code:literal $status:literal $outcome:ident $category:ident $retry_after:expr, $doc:literal;)+) => {
         /// Everything that can go wrong, as a caller or operator sees it.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
@@ -73,24 +73,24 @@
             /// The answer for this kind.
             #[must_use]
             pub const fn answer(self) -> Answer {
-                let retry: Option<u64> = match self { $(Self::$kind => $retry,)+ };
-                let retry = match retry { Some(ms) => Some(Millis(ms)), None => None };
+                let retry_after: Option<u64> = match self { $(Self::$kind => $retry_after,)+ };
+                let retry_after = match retry_after { Some(ms) => Some(Millis(ms)), None => None };
                 match self {
                     $(Self::$kind => Answer {
-                        code: $code, status: $status, outcome: Outcome::$outcome, retry,
+                        code: $code, status: $status, outcome: Outcome::$outcome, retry_after,
                     },)+
                 }
             }
 
             /// The category a caller decides by.
             #[must_use]
-            pub const fn classify(self) -> Category {
+            pub const fn category(self) -> Category {
                 match self { $(Self::$kind => Category::$category,)+ }
             }
 
             /// What the kind means, in one sentence.
             #[must_use]
-            pub const fn meaning(self) -> &'static str {
+            pub const fn description(self) -> &'static str {
                 match self { $(Self::$kind => $doc,)+ }
             }
         }
@@ -140,7 +140,7 @@
 struct Inner {
     kind: ErrorKind,
     detail: String,
-    retry: Option<Millis>,
+    retry_after: Option<Millis>,
 }
 
 impl Error {
@@ -149,14 +149,14 @@
         Self(Box::new(Inner {
             kind,
             detail: detail.into(),
-            retry: kind.answer().retry,
+            retry_after: kind.answer().retry_after,
         }))
     }
 
     /// States when to come back, where that is known better than by kind.
     #[must_use]
-    pub fn with_retry(mut self, after: Millis) -> Self {
-        self.0.retry = Some(after);
+    pub fn with_retry_after(mut self, after: Millis) -> Self {
+        self.0.retry_after = Some(after);
         self
     }
 
@@ -168,14 +168,14 @@
 
     /// The category a caller decides by.
     #[must_use]
-    pub fn classify(&self) -> Category {
-        self.0.kind.classify()
+    pub fn category(&self) -> Category {
+        self.0.kind.category()
     }
 
     /// When to come back.
     #[must_use]
-    pub fn retry(&self) -> Option<Millis> {
-        self.0.retry
+    pub fn retry_after(&self) -> Option<Millis> {
+        self.0.retry_after
     }
 
     /// The sentence for people.
@@ -187,7 +187,7 @@
 
 impl From<ErrorKind> for Error {
     fn from(kind: ErrorKind) -> Self {
-        Self::new(kind, kind.meaning())
+        Self::new(kind, kind.description())
     }
 }
 
--- a/crates/types/src/fingerprint.rs
+++ b/crates/types/src/fingerprint.rs
@@ -73,9 +73,9 @@
 /// One start of an upstream as a hash: an upstream may start again under its name, and what
 /// ended one start says nothing of the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct StartTag(u64);
+pub struct IncarnationTag(u64);
 
-impl StartTag {
+impl IncarnationTag {
     /// The tag of a start.
     #[must_use]
     pub fn of(upstream: &Upstream, incarnation: Incarnation) -> Self {
@@ -89,7 +89,7 @@
     }
 }
 
-impl fmt::Display for StartTag {
+impl fmt::Display for IncarnationTag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/types/src/incarnation.rs
+++ b/crates/types/src/incarnation.rs
@@ -23,7 +23,7 @@
     /// nothing tells that it is not. Where only now a start is named, it is taken for the one
     /// that was known without.
     #[must_use]
-    pub fn against(self, known: Self) -> Ordering {
+    pub fn compare_to(self, known: Self) -> Ordering {
         match (self.0, known.0) {
             (Some(start), Some(known)) => start.cmp(&known),
             (None, Some(_)) => Ordering::Less,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -9,7 +9,7 @@
 //! * [`rank`] orders candidates by rendezvous hashing, which is how work is spread over
 //!   daemons without asking anybody.
 //! * [`Incarnation`] tells starts of one upstream apart.
-//! * [`Fingerprint`] tells that two requests are the same, [`StartTag`] names one start of an
+//! * [`Fingerprint`] tells that two requests are the same, [`IncarnationTag`] names one start of an
 //!   upstream.
 //! * [`TokenHash`] and [`KeyHash`] are the only forms in which a secret is kept.
 
@@ -25,7 +25,7 @@
 
 pub use error::{Answer, Category, Error, ErrorKind, Outcome, Result};
 pub use event::{Level, LogEvent};
-pub use fingerprint::{Fingerprint, Identity, StartTag};
+pub use fingerprint::{Fingerprint, Identity, IncarnationTag};
 pub use hash::{digest, rank, stable_hash};
 pub use id::{
     Adapter, ChangeId, DataCentre, Instance, InvalidName, Model, Org, RequestId, Service, Stream,
--- a/crates/types/src/safeguard.rs
+++ b/crates/types/src/safeguard.rs
@@ -25,7 +25,7 @@
 
             /// What the safeguard does.
             #[must_use]
-            pub const fn meaning(self) -> &'static str {
+            pub const fn description(self) -> &'static str {
                 match self { $(Self::$name => $doc,)+ }
             }
         }
@@ -50,7 +50,7 @@
 impl Safeguard {
     /// Whether the check is in force, which it is but in the runs that test the checker.
     #[must_use]
-    pub fn active(self) -> bool {
+    pub fn is_active(self) -> bool {
         SUSPENDED.load(Ordering::Relaxed) & (1 << self as u32) == 0
     }
 
