--- a/crates/bench/src/admission.rs
+++ b/crates/bench/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::costs::resident_kb;
 use serde::Serialize;
 use shaleline_gateway::{Counting, OrgRule, Orgs};
-use shaleline_route::{Allowance, Credits, Draw, DrawStep, Granter, Part};
+use shaleline_route::{Allocator, AllocatorShare, Allowance, Credits, GrantRequest, GrantStep};
 use shaleline_types::{KeyHash, Millis, Org};
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -53,13 +53,13 @@
     let shown: Vec<String> = (0..DECISIONS)
         .map(|i| key(i * 7_919 % count, i % KEYS))
         .collect();
-    let mut granter = Granter::new(TOLERANCE);
-    let part = Part {
-        of_all: 1.0,
+    let mut granter = Allocator::new(TOLERANCE);
+    let part = AllocatorShare {
+        fraction: 1.0,
         daemons: 90,
     };
     let start = Millis(1_000_000);
-    granter.set_part(part, |o| orgs.allowance(o), start);
+    granter.set_share(part, |o| orgs.allowance(o), start);
     let mut credits = Credits::default();
     let me = SocketAddr::from(([10, 0, 0, 1], 7_000));
     let mut admitted = 0;
@@ -69,13 +69,13 @@
         let rule = orgs.find(&KeyHash::from_key(key)).expect("a known key");
         let allowance = rule.allowance.expect("a limit");
         let cost = rule.cost(Some(1_800));
-        let mut draw = Draw::new(rule.name.clone(), cost, &[me]);
-        let mut step = draw.next(&mut credits, now);
-        if step == DrawStep::Ask(me) {
-            let grant = granter.ask(&rule.name, &allowance, cost, u64::MAX, now);
+        let mut draw = GrantRequest::new(rule.name.clone(), cost, &[me]);
+        let mut step = draw.next_step(&mut credits, now);
+        if step == GrantStep::Query(me) {
+            let grant = granter.request(&rule.name, &allowance, cost, u64::MAX, now);
             step = draw.on_grant(grant, &mut credits, now);
         }
-        admitted += usize::from(black_box(step) == DrawStep::Admit);
+        admitted += usize::from(black_box(step) == GrantStep::Admit);
     }
     let us = begun.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
     assert_eq!(admitted, DECISIONS, "all are below their allowance");
--- a/crates/bench/src/allowance_ways.rs
+++ b/crates/bench/src/allowance_ways.rs
@@ -4,7 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_route::{
-    Credits, Draw, DrawStep, Grant, Granter, LimitKind, Limits, Part, ShareBook,
+    Allocator, AllocatorShare, Credits, GrantRequest, GrantResponse, GrantStep, LimitKind, Limits,
+    ShareBook,
 };
 use shaleline_types::Millis;
 use std::net::SocketAddr;
@@ -23,11 +24,11 @@
 }
 
 /// Each daemon has the same part.
-pub(crate) struct Equal(Vec<Granter>);
+pub(crate) struct Equal(Vec<Allocator>);
 
 impl Equal {
     pub(crate) fn new(daemons: usize) -> Self {
-        Self((0..daemons).map(|_| Granter::new(TOLERANCE)).collect())
+        Self((0..daemons).map(|_| Allocator::new(TOLERANCE)).collect())
     }
 }
 
@@ -37,23 +38,23 @@
     }
 
     fn tick(&mut self, state: &State) {
-        let part = Part {
-            of_all: 1.0 / state.daemons as f64,
+        let part = AllocatorShare {
+            fraction: 1.0 / state.daemons as f64,
             daemons: state.daemons,
         };
         for granter in &mut self.0 {
-            granter.set_part(part, |o| state.limit_of(o), state.now);
+            granter.set_share(part, |o| state.limit_of(o), state.now);
         }
     }
 
     fn restart(&mut self, _: &State, daemon: usize) {
-        self.0[daemon] = Granter::new(TOLERANCE);
+        self.0[daemon] = Allocator::new(TOLERANCE);
     }
 
     fn admit(&mut self, state: &State, daemon: usize, org: usize, cost: u64) -> bool {
         let (name, limit) = (&state.orgs[org], &state.limits[org]);
-        let grant = self.0[daemon].ask(name, limit, cost, u64::MAX, state.now);
-        matches!(grant, Grant::Granted(_))
+        let grant = self.0[daemon].request(name, limit, cost, u64::MAX, state.now);
+        matches!(grant, GrantResponse::Granted(_))
     }
 
     fn spent(&self) -> (u64, u64) {
@@ -95,7 +96,7 @@
     fn try_take(&mut self, state: &State, daemon: usize, org: usize, cost: u64) -> bool {
         let limit = state.limits[org].rate as u64;
         let (name, now) = (&state.orgs[org], state.now);
-        let part = self.books[daemon].part(name, LimitKind::Tokens, limit, now) as f64;
+        let part = self.books[daemon].share(name, LimitKind::Tokens, limit, now) as f64;
         let fresh = Level {
             tokens: part,
             last: now,
@@ -170,9 +171,9 @@
     }
 }
 
-/// One daemon of each data centre grants: `Granter` and `Credits`.
+/// One daemon of each data centre grants: `Allocator` and `Credits`.
 pub(crate) struct Grants {
-    granters: Vec<Granter>,
+    granters: Vec<Allocator>,
     credits: Vec<Credits>,
     hubs: Vec<Option<usize>>,
     /// Since when the daemons of each data centre take another one for their hub.
@@ -191,7 +192,7 @@
 impl Grants {
     pub(crate) fn new(daemons: usize) -> Self {
         Self {
-            granters: (0..daemons).map(|_| Granter::new(TOLERANCE)).collect(),
+            granters: (0..daemons).map(|_| Allocator::new(TOLERANCE)).collect(),
             credits: (0..daemons).map(|_| Credits::default()).collect(),
             hubs: (0..CENTRES).map(Some).collect(),
             moved: vec![Millis(0); CENTRES],
@@ -235,18 +236,18 @@
                     // Cut off it counts for itself.
                     _ => usize::from(state.cut[*daemon]),
                 };
-                let part = Part {
-                    of_all: votes as f64 / near.len() as f64 / CENTRES as f64,
+                let part = AllocatorShare {
+                    fraction: votes as f64 / near.len() as f64 / CENTRES as f64,
                     daemons: state.daemons,
                 };
-                self.granters[*daemon].set_part(part, |o| state.limit_of(o), state.now);
+                self.granters[*daemon].set_share(part, |o| state.limit_of(o), state.now);
                 self.credits[*daemon].prune(state.now);
             }
         }
     }
 
     fn restart(&mut self, _: &State, daemon: usize) {
-        self.granters[daemon] = Granter::new(TOLERANCE);
+        self.granters[daemon] = Allocator::new(TOLERANCE);
         self.credits[daemon] = Credits::default();
     }
 
@@ -254,10 +255,10 @@
         let (name, limit) = (&state.orgs[org], state.limits[org]);
         let granters = self.granters_for(daemon);
         let addresses: Vec<SocketAddr> = granters.iter().map(|g| address(*g)).collect();
-        let mut draw = Draw::new(name.clone(), cost, &addresses);
-        let mut step = draw.next(&mut self.credits[daemon], state.now);
+        let mut draw = GrantRequest::new(name.clone(), cost, &addresses);
+        let mut step = draw.next_step(&mut self.credits[daemon], state.now);
         let mut asked = false;
-        while let DrawStep::Ask(at) = step {
+        while let GrantStep::Query(at) = step {
             let place = addresses.iter().position(|a| *a == at);
             let granter = granters[place.expect("one of them")];
             let remote = granter != daemon;
@@ -266,14 +267,14 @@
             let reached = !remote || (state.in_touch(daemon) && state.in_touch(granter));
             step = if reached {
                 let held = self.credits[daemon].held(name);
-                let grant = self.granters[granter].ask(name, &limit, cost, held, state.now);
+                let grant = self.granters[granter].request(name, &limit, cost, held, state.now);
                 draw.on_grant(grant, &mut self.credits[daemon], state.now)
             } else {
-                draw.next(&mut self.credits[daemon], state.now)
+                draw.next_step(&mut self.credits[daemon], state.now)
             };
         }
         self.waited += u64::from(asked);
-        step == DrawStep::Admit
+        step == GrantStep::Admit
     }
 
     fn spent(&self) -> (u64, u64) {
--- a/crates/bench/src/compare.rs
+++ b/crates/bench/src/compare.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use shaleline_place::{LruPlanner, PlanSettings, Planner, StaticPlanner};
-use shaleline_route::Choice;
+use shaleline_route::ChoicePolicy;
 
 const QUICK_SEEDS: u64 = 5;
 const FULL_SEEDS: u64 = 15;
@@ -40,28 +40,28 @@
 
     fn setup(self, deployment: Deployment) -> Setup {
         let settings = PlanSettings {
-            weight: deployment.move_weight(),
+            move_weight: deployment.move_weight(),
             ..PlanSettings::default()
         };
         match self {
             Self::Shaleline => Setup {
                 policy: Box::new(Planner::new(settings)),
-                choice: Choice::Expected,
+                choice: ChoicePolicy::Expected,
                 shed: true,
             },
             Self::Static => Setup {
                 policy: Box::new(StaticPlanner::default()),
-                choice: Choice::RoundRobin,
+                choice: ChoicePolicy::RoundRobin,
                 shed: false,
             },
             Self::LeastLoaded => Setup {
                 policy: Box::new(StaticPlanner::default()),
-                choice: Choice::Reported,
+                choice: ChoicePolicy::Reported,
                 shed: false,
             },
             Self::Lru => Setup {
                 policy: Box::new(LruPlanner),
-                choice: Choice::Reported,
+                choice: ChoicePolicy::Reported,
                 shed: false,
             },
         }
--- a/crates/bench/src/costs.rs
+++ b/crates/bench/src/costs.rs
@@ -7,12 +7,12 @@
 use shaleline_log::{AppendBudget, Appended, Machine, Priority, Replica};
 use shaleline_once::{KeptAnswer, OnceBody, OnceKey, OnceMachine};
 use shaleline_place::{
-    CellBody, CellMachine, Demand, EngineReport, EngineView, Item, Plan, Planner, Policy, Resident,
-    Want, Wanted,
+    CellBody, CellMachine, Demand, DesiredItem, DesiredItems, EngineReport, EngineView, Item,
+    PlanInput, Planner, Policy, Resident,
 };
 use shaleline_route::{
-    Ask, End, Limits, Load, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook,
-    Site, Terms,
+    AttemptEnd, Limits, Load, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest, Router,
+    RouterSettings, ShareBook, UpstreamInfo,
 };
 use shaleline_types::{
     ChangeId, DataCentre, Instance, Megabytes, Millis, Model, Offset, Org, RequestId, Upstream,
@@ -241,7 +241,7 @@
         engine: engine_name(i),
         incarnation: 1,
         memory: Megabytes(80_000),
-        checks: false,
+        checks_fence: false,
         resident: (0..HELD)
             .map(|k| (model_item((i * HELD + k) % MODELS), Megabytes(15_000)))
             .collect(),
@@ -266,15 +266,15 @@
     };
     let views = (0..engines).map(|i| (engine_name(i), view(i))).collect();
     let models = MODELS.min(engines * 2);
-    let want = |i: usize| Want {
+    let want = |i: usize| DesiredItem {
         item: model_item(i),
         size: Megabytes(15_000),
     };
-    let wanted = Wanted::from_wants((0..models).map(want));
+    let wanted = DesiredItems::from_items((0..models).map(want));
     let mut demand = Demand::default();
     for i in 0..models {
         let rate = engines as f64 * 1_000.0 / models as f64;
-        demand.note(
+        demand.record(
             &model_item(i).model,
             rate * (1 + i % 3) as f64 * 10.0,
             Millis(1),
@@ -282,12 +282,12 @@
     }
     let mut planner = Planner::default();
     shortest(5, || {
-        let plan = Plan {
-            books: replica.machine().engines(),
+        let plan = PlanInput {
+            ledgers: replica.machine().engines(),
             views: &views,
-            wanted: &wanted,
+            desired: &wanted,
             demand: &demand,
-            loads: 4,
+            load_limit: 4,
         };
         std::hint::black_box(planner.plan(plan, Millis(1)));
     })
@@ -304,14 +304,14 @@
     let now = Millis(1_000);
     for i in 0..upstreams {
         let upstream = engine_name(i);
-        let site = Site {
+        let info = UpstreamInfo {
             centre: centre.clone(),
             routes: vec![route.clone()],
         };
         router.step(
             RouteEvent::Serves {
                 upstream: upstream.clone(),
-                site,
+                info,
             },
             now,
         );
@@ -329,7 +329,7 @@
             for action in router.step(RouteEvent::Arrive(Box::new(ask)), now) {
                 if let RouteAction::Send { id, attempt, .. } = action {
                     router.step(RouteEvent::FirstByte { id, attempt }, now);
-                    let end = End::Whole;
+                    let end = AttemptEnd::Whole;
                     router.step(RouteEvent::Ended { id, attempt, end }, now);
                 }
             }
@@ -338,9 +338,9 @@
     shortest(5, work) / REQUESTS as f64
 }
 
-fn ask(number: u64, route: &Route, now: Millis) -> Ask {
+fn ask(number: u64, route: &Route, now: Millis) -> RouteRequest {
     const PLENTY: u64 = 1 << 40;
-    Ask {
+    RouteRequest {
         id: RequestId(number),
         org: Org::from_text("org").expect("the name is valid"),
         route: route.clone(),
@@ -348,7 +348,7 @@
         weight: 1,
         cost: 100,
         prefix: vec![1, 2, 3, 4],
-        sizes: Vec::new(),
+        block_sizes: Vec::new(),
         due: now.plus(10_000),
         repeatable: true,
         limits: Limits {
@@ -356,7 +356,7 @@
             concurrency: PLENTY,
             tokens: PLENTY,
         },
-        terms: Terms::default(),
+        policy: RequestPolicy::default(),
         identity: None,
     }
 }
@@ -375,7 +375,7 @@
         engine: Some(EngineReport {
             incarnation: 7,
             memory: Megabytes(80_000),
-            checks: true,
+            checks_fence: true,
             leaving: false,
             resident: (0..items).map(held).collect(),
             loading: Vec::new(),
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -7,12 +7,12 @@
 use shaleline_lease::LeaseBody;
 use shaleline_log::{Machine, Position};
 use shaleline_place::{
-    CellBody, CellMachine, Demand, Dispatcher, EngineReport, EngineView, Item, Plan, Policy, Want,
-    Wanted,
+    CellBody, CellMachine, Demand, DesiredItem, DesiredItems, Dispatcher, EngineReport, EngineView,
+    Item, PlanInput, Policy,
 };
 use shaleline_route::{
-    Ask, Choice, End, Limits, Load, Route, RouteAction, RouteEvent, Router, RouterSettings,
-    ShareBook, Site, Terms,
+    AttemptEnd, ChoicePolicy, Limits, Load, RequestPolicy, Route, RouteAction, RouteEvent,
+    RouteRequest, Router, RouterSettings, ShareBook, UpstreamInfo,
 };
 use shaleline_types::{
     stable_hash, DataCentre, ErrorKind, Instance, Megabytes, Millis, Model, Offset, Org, RequestId,
@@ -51,7 +51,7 @@
     /// The placement policy.
     pub policy: Box<dyn Policy>,
     /// The choice of upstream.
-    pub choice: Choice,
+    pub choice: ChoicePolicy,
     /// Whether what can't make its target is refused early.
     pub shed: bool,
 }
@@ -109,8 +109,8 @@
     placed: Placed,
     policy: Box<dyn Policy>,
     demand: Demand,
-    wanted: Wanted,
-    reports: VecDeque<(u64, usize, Load, Site, Vec<u64>)>,
+    wanted: DesiredItems,
+    reports: VecDeque<(u64, usize, Load, UpstreamInfo, Vec<u64>)>,
     rng: SmallRng,
     now: u64,
     moves_before: u64,
@@ -146,7 +146,7 @@
             };
             Router::new(settings, ShareBook::alone("me"))
         };
-        let want = |i: usize| Want {
+        let want = |i: usize| DesiredItem {
             item: Item::base(&model(i), 1),
             size: Megabytes(SIZES[i % SIZES.len()]),
         };
@@ -160,7 +160,7 @@
             placed: Placed::new(),
             policy: setup.policy,
             demand: Demand::default(),
-            wanted: Wanted::from_wants((0..deployment.models()).map(want)),
+            wanted: DesiredItems::from_items((0..deployment.models()).map(want)),
             reports: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             now: 0,
@@ -229,8 +229,8 @@
         let daemon = self.rng.random_range(0..DAEMONS);
         let cost = u64::from(arrival.blocks) / BLOCKS_PER_TOKEN + u64::from(arrival.tokens);
         let now = Millis(self.now);
-        self.demand.note(&model(arrival.model), cost as f64, now);
-        let ask = Ask {
+        self.demand.record(&model(arrival.model), cost as f64, now);
+        let ask = RouteRequest {
             id,
             org: org(arrival.org),
             route: Route::Model {
@@ -241,11 +241,11 @@
             weight: 1,
             cost,
             prefix: blocks(arrival),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: now.plus(PATIENCE),
             repeatable: true,
             limits: self.limits(),
-            terms: Terms::default(),
+            policy: RequestPolicy::default(),
             identity: None,
         };
         let open = Open {
@@ -362,15 +362,15 @@
                 }
                 Told::Whole => {
                     self.whole(id);
-                    let end = End::Whole;
+                    let end = AttemptEnd::Whole;
                     self.route(m.daemon, RouteEvent::Ended { id, attempt, end });
                 }
                 Told::Refused => {
-                    let end = End::Refused;
+                    let end = AttemptEnd::Refused;
                     self.route(m.daemon, RouteEvent::Ended { id, attempt, end });
                 }
                 Told::Broken => {
-                    let end = End::Broken;
+                    let end = AttemptEnd::Broken;
                     self.route(m.daemon, RouteEvent::Ended { id, attempt, end });
                 }
             }
@@ -431,14 +431,14 @@
                 model: r.item.model.clone(),
                 adapter: None,
             };
-            let site = Site {
+            let info = UpstreamInfo {
                 centre: engine.state.spec().centre.clone(),
                 routes: ledger.resident.iter().map(serves).collect(),
             };
             self.placed.reports.insert(upstream(index), ledger);
             let due = self.now + REPORT_LAG;
             self.reports
-                .push_back((due, index, load, site, report.cache.blocks));
+                .push_back((due, index, load, info, report.cache.blocks));
         }
     }
 
@@ -448,7 +448,7 @@
             .front()
             .is_some_and(|(due, ..)| *due <= self.now)
         {
-            let Some((_, index, load, site, blocks)) = self.reports.pop_front() else {
+            let Some((_, index, load, info, blocks)) = self.reports.pop_front() else {
                 return;
             };
             let name = upstream(index);
@@ -457,8 +457,8 @@
                     self.route(daemon, RouteEvent::Removed(name.clone()));
                     continue;
                 }
-                let (upstream, site) = (name.clone(), site.clone());
-                self.route(daemon, RouteEvent::Serves { upstream, site });
+                let (upstream, info) = (name.clone(), info.clone());
+                self.route(daemon, RouteEvent::Serves { upstream, info });
                 let (upstream, blocks) = (name.clone(), blocks.clone());
                 self.route(daemon, RouteEvent::Cached { upstream, blocks });
                 let upstream = name.clone();
@@ -494,12 +494,12 @@
         placed.apply(follow, now);
         placed.store = (placed.store + self.deployment.store_rate() * PLAN_EVERY as f64 / 1_000.0)
             .min(self.deployment.store_rate().max(1.0));
-        let plan = Plan {
-            books: placed.machine.engines(),
+        let plan = PlanInput {
+            ledgers: placed.machine.engines(),
             views: &views,
-            wanted: &self.wanted,
+            desired: &self.wanted,
             demand: &self.demand,
-            loads: placed.store as usize,
+            load_limit: placed.store as usize,
         };
         let steps = self.policy.plan(plan, now);
         let loads = steps
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use shaleline_border::{SendError, ServiceAnswer, ServiceCall, Services};
 use shaleline_config::Tenant;
-use shaleline_route::{Ask, End, Route, RouteAction, RouteEvent, Terms};
+use shaleline_route::{AttemptEnd, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest};
 use shaleline_types::{Error, ErrorKind, Millis, Outcome, RequestId, Result, Service, Upstream};
 use std::sync::Arc;
 use tokio::sync::mpsc;
@@ -122,13 +122,13 @@
         };
         match sent {
             Ok(answer) => {
-                permit.end(attempt, End::Whole);
+                permit.end(attempt, AttemptEnd::Whole);
                 local.core.metrics.count_request("service", "ok");
                 return Ok(answer_response(&answer, job.id));
             }
-            Err(SendError::NotSent) => permit.end(attempt, End::NotSent),
-            Err(SendError::Refused) => permit.end(attempt, End::Refused),
-            Err(SendError::Broken) => permit.end(attempt, End::Broken),
+            Err(SendError::NotSent) => permit.end(attempt, AttemptEnd::NotSent),
+            Err(SendError::Refused) => permit.end(attempt, AttemptEnd::Refused),
+            Err(SendError::Broken) => permit.end(attempt, AttemptEnd::Broken),
         }
     }
 }
@@ -175,7 +175,7 @@
         let tenant = &job.tenant;
         let id = job.id;
         let actions = core.register(id);
-        let ask = Ask {
+        let ask = RouteRequest {
             id,
             org: tenant.org.clone(),
             route: Route::Service(job.service.clone()),
@@ -183,11 +183,11 @@
             weight: tenant.weight,
             cost: 1,
             prefix: Vec::new(),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: core.now().plus(tenant.patience),
             repeatable: job.repeatable,
             limits: limits(tenant),
-            terms: Terms::default(),
+            policy: RequestPolicy::default(),
             identity: None,
         };
         let permit = Self {
@@ -218,9 +218,9 @@
         }
     }
 
-    pub(crate) fn end(&mut self, attempt: u32, end: End) {
+    pub(crate) fn end(&mut self, attempt: u32, end: AttemptEnd) {
         let id = self.id;
-        self.open &= !matches!(end, End::Whole | End::Cancelled);
+        self.open &= !matches!(end, AttemptEnd::Whole | AttemptEnd::Cancelled);
         self.core.route(RouteEvent::Ended { id, attempt, end });
     }
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -81,8 +81,8 @@
         };
         let router = Router::new(
             RouterSettings {
-                queue: settings.queue,
-                stall: settings.stall,
+                queue_limit: settings.queue,
+                stall_timeout: settings.stall,
                 ..RouterSettings::new(settings.centre.clone())
             },
             ShareBook::joining(settings.instance.as_str(), clock.now()),
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -5,7 +5,9 @@
 use futures_util::StreamExt;
 use shaleline_border::{Engines, Generate, Piece, PieceStream, SendError};
 use shaleline_config::Tenant;
-use shaleline_route::{prefix_chain, Ask, End, Limits, Route, RouteAction, RouteEvent, Terms};
+use shaleline_route::{
+    prefix_chain, AttemptEnd, Limits, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest,
+};
 use shaleline_types::{Error, ErrorKind, LogEvent, Millis, RequestId, Upstream};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -68,7 +70,7 @@
     /// The answer is whole.
     Whole,
     /// The send ended otherwise; the router decides what next.
-    Ended(End),
+    Ended(AttemptEnd),
     /// The router gave this attempt up and has sent or will send another.
     Superseded,
     /// The caller went away.
@@ -89,7 +91,7 @@
         let (out, outs) = mpsc::unbounded_channel();
         let now = core.now();
         let salt = tenant.org.as_str();
-        let ask = Ask {
+        let ask = RouteRequest {
             id,
             org: tenant.org.clone(),
             route: Route::Model {
@@ -100,15 +102,15 @@
             weight: tenant.weight,
             cost: completion.cost(),
             prefix: prefix_chain(salt, &completion.prompt),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: now.plus(tenant.patience),
             repeatable: true,
             limits: limits(tenant),
-            terms: Terms::default(),
+            policy: RequestPolicy::default(),
             identity: None,
         };
         core.demand()
-            .note(&completion.item.model, ask.cost as f64, now);
+            .record(&completion.item.model, ask.cost as f64, now);
         let actions = core.register(id);
         let drive = Self {
             core: Arc::clone(core),
@@ -168,7 +170,7 @@
         match self.send(attempt, upstream, actions).await {
             Step::Whole => {
                 self.guard.ended = true;
-                let end = End::Whole;
+                let end = AttemptEnd::Whole;
                 self.core.route(RouteEvent::Ended { id, attempt, end });
                 true
             }
@@ -209,7 +211,7 @@
             directory.address(upstream).zip(item)
         };
         let Some((address, item)) = target else {
-            return Step::Ended(End::NotSent);
+            return Step::Ended(AttemptEnd::NotSent);
         };
         let request = Generate {
             id: self.id,
@@ -229,9 +231,9 @@
         };
         match opened {
             Ok(pieces) => self.pass_on(attempt, pieces, actions).await,
-            Err(SendError::NotSent) => Step::Ended(End::NotSent),
-            Err(SendError::Refused) => Step::Ended(End::Refused),
-            Err(SendError::Broken) => Step::Ended(End::Broken),
+            Err(SendError::NotSent) => Step::Ended(AttemptEnd::NotSent),
+            Err(SendError::Refused) => Step::Ended(AttemptEnd::Refused),
+            Err(SendError::Broken) => Step::Ended(AttemptEnd::Broken),
         }
     }
 
@@ -264,7 +266,7 @@
                     let _ = self.out.send(Out::End { total });
                     return Step::Whole;
                 }
-                Some(Ok(_) | Err(_)) | None => return Step::Ended(End::Broken),
+                Some(Ok(_) | Err(_)) | None => return Step::Ended(AttemptEnd::Broken),
             }
         }
     }
--- a/crates/daemon/src/dump.rs
+++ b/crates/daemon/src/dump.rs
@@ -50,12 +50,12 @@
     let mut value = journal(&core.cell);
     core.cell.with(|c| {
         value["owner"] = json!(c.lease().holder());
-        let engine = |(name, book): (&Upstream, &shaleline_place::EngineBook)| {
+        let engine = |(name, book): (&Upstream, &shaleline_place::EngineLedger)| {
             json!({
                 "engine": name,
                 "memory_mb": book.memory,
                 "promised_mb": book.used(),
-                "checks": book.checks,
+                "checks": book.checks_fence,
                 "leaving": book.leaving,
                 "slots": book.slots,
             })
--- a/crates/daemon/src/keyed.rs
+++ b/crates/daemon/src/keyed.rs
@@ -18,7 +18,7 @@
     Attempt, AttemptAction, AttemptEvent, KeptAnswer, KeyState, OnceBody, OnceKey, OnceMachine,
     OnceVerdict, SendEnd,
 };
-use shaleline_route::End;
+use shaleline_route::AttemptEnd;
 use shaleline_types::{
     digest, Error, ErrorKind, LogEvent, Outcome, RequestId, Result, Upstream, WriterId,
 };
@@ -222,13 +222,19 @@
         let sent = send(&self.core, &*self.services, &self.job, &allowed.upstream);
         let (end, result) = match tokio::time::timeout(patience, sent).await {
             Ok(Ok(answer)) => (
-                End::Whole,
+                AttemptEnd::Whole,
                 AttemptEvent::Sent(SendEnd::Answered(kept(&answer))),
             ),
-            Ok(Err(SendError::NotSent)) => (End::NotSent, AttemptEvent::Sent(SendEnd::NotSent)),
-            Ok(Err(SendError::Refused)) => (End::Refused, AttemptEvent::Sent(SendEnd::NotSent)),
-            Ok(Err(SendError::Broken)) => (End::Broken, AttemptEvent::Sent(SendEnd::Unknown)),
-            Err(_) => (End::Broken, AttemptEvent::Deadline),
+            Ok(Err(SendError::NotSent)) => {
+                (AttemptEnd::NotSent, AttemptEvent::Sent(SendEnd::NotSent))
+            }
+            Ok(Err(SendError::Refused)) => {
+                (AttemptEnd::Refused, AttemptEvent::Sent(SendEnd::NotSent))
+            }
+            Ok(Err(SendError::Broken)) => {
+                (AttemptEnd::Broken, AttemptEvent::Sent(SendEnd::Unknown))
+            }
+            Err(_) => (AttemptEnd::Broken, AttemptEvent::Deadline),
         };
         allowed.permit.end(allowed.number, end);
         result
--- a/crates/daemon/src/member_actor.rs
+++ b/crates/daemon/src/member_actor.rs
@@ -179,7 +179,7 @@
 /// Borrows parts of the limits that stood in the way since the last round. Whoever was
 /// refused meanwhile was told when to come back.
 async fn borrow(core: &Arc<Core>, peers: &mut Peers) {
-    let short = core.router().take_short();
+    let short = core.router().take_exceeded();
     let others: Vec<String> = {
         let members = core.members();
         let me = members.me().id.clone();
--- a/crates/daemon/src/owner_actor.rs
+++ b/crates/daemon/src/owner_actor.rs
@@ -9,8 +9,8 @@
 use shaleline_lease::{Keeper, KeeperInput, LeaseVerdict};
 use shaleline_log::Priority;
 use shaleline_place::{
-    CellBody, CellMachine, CellVerdict, Dispatcher, EngineReport, EngineView, Item, Plan,
-    PlanSettings, Planner, Policy, Step, Want, Wanted,
+    CellBody, CellMachine, CellVerdict, DesiredItem, DesiredItems, Dispatcher, EngineReport,
+    EngineView, Item, PlanInput, PlanSettings, Planner, Policy, Step,
 };
 use shaleline_types::{LogEvent, Millis, Upstream};
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
 impl OwnerActor {
     pub(crate) fn new(core: &Arc<Core>, engines: Rc<dyn Engines>) -> Self {
         let settings = PlanSettings {
-            weight: core.settings.move_weight,
+            move_weight: core.settings.move_weight,
             ..PlanSettings::default()
         };
         let duty = Duty {
@@ -234,14 +234,14 @@
         let wanted = wanted(&core.view());
         let now = core.now();
         let mut demand = core.demand().clone();
-        demand.set_elsewhere(core.remote_demand());
+        demand.set_peer_rates(core.remote_demand());
         let steps = core.cell.with(|cell| {
-            let plan = Plan {
-                books: cell.engines(),
+            let plan = PlanInput {
+                ledgers: cell.engines(),
                 views: &views,
-                wanted: &wanted,
+                desired: &wanted,
                 demand: &demand,
-                loads: self.loads(core, cell),
+                load_limit: self.loads(core, cell),
             };
             self.policy.plan(plan, now)
         });
@@ -287,7 +287,7 @@
 }
 
 /// What some organisation may call.
-fn wanted(view: &View) -> Wanted {
+fn wanted(view: &View) -> DesiredItems {
     let models = view.used_models();
     let adapters = view.used_adapters();
     let mut wants = Vec::new();
@@ -297,7 +297,7 @@
         .iter()
         .filter(|m| models.contains(m.name.as_str()))
     {
-        wants.push(Want {
+        wants.push(DesiredItem {
             item: Item::base(&spec.name, spec.version),
             size: spec.size.plus(spec.kv.0),
         });
@@ -311,10 +311,10 @@
         let Some(base) = view.fleet.model(spec.base.as_str()) else {
             continue;
         };
-        wants.push(Want {
+        wants.push(DesiredItem {
             item: Item::base(&base.name, base.version).with_adapter(&spec.name),
             size: spec.size,
         });
     }
-    Wanted::from_wants(wants)
+    DesiredItems::from_items(wants)
 }
--- a/crates/daemon/src/upstream_actor.rs
+++ b/crates/daemon/src/upstream_actor.rs
@@ -6,7 +6,7 @@
 use actix::prelude::*;
 use shaleline_border::{Engines, InstanceKind, InstanceList, Listed, UpstreamReport};
 use shaleline_place::{Item, SlotState};
-use shaleline_route::{Load, Route, RouteEvent, Site};
+use shaleline_route::{Load, Route, RouteEvent, UpstreamInfo};
 use shaleline_types::{LogEvent, Service, Upstream};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -123,14 +123,14 @@
 
 fn take_report(core: &Arc<Core>, name: &Upstream, report: UpstreamReport) {
     let now = core.now();
-    let site = {
+    let info = {
         let mut directory = core.directory.write().expect("no holder panics");
         let Some(entry) = directory.entries.get_mut(name) else {
             return;
         };
         entry.heard = Some(now);
         entry.report.clone_from(&report.engine);
-        Site {
+        UpstreamInfo {
             centre: entry.centre.clone(),
             routes: routes(core, name, entry),
         }
@@ -140,7 +140,7 @@
         emit(LogEvent::Overcommit, name.as_str());
     }
     let upstream = name.clone();
-    core.route(RouteEvent::Serves { upstream, site });
+    core.route(RouteEvent::Serves { upstream, info });
     if !report.cache.blocks.is_empty() {
         core.route(RouteEvent::Cached {
             upstream: name.clone(),
--- a/crates/faults/src/cell_run.rs
+++ b/crates/faults/src/cell_run.rs
@@ -9,8 +9,8 @@
 use shaleline_lease::{Keeper, KeeperInput, LeaseBody, LeaseVerdict};
 use shaleline_log::{Priority, Ticket};
 use shaleline_place::{
-    CellBody, CellMachine, CellVerdict, Demand, Dispatcher, EngineReport, EngineView, Item, Order,
-    Plan, Planner, Policy, Step, Want, Wanted,
+    CellBody, CellMachine, CellVerdict, Demand, DesiredItem, DesiredItems, Dispatcher,
+    EngineReport, EngineView, Item, Order, PlanInput, Planner, Policy, Step,
 };
 use shaleline_standin::{EngineSpec, EngineState, Pace};
 use shaleline_types::{DataCentre, Instance, Megabytes, Millis, Model, Offset, Upstream, WriterId};
@@ -68,7 +68,7 @@
     flights: Vec<Flight>,
     tickets: BTreeMap<(WriterId, Ticket), (CellBody, Option<usize>)>,
     claims: Vec<Claim>,
-    wanted: Wanted,
+    wanted: DesiredItems,
     reached: BTreeSet<Item>,
     settling: bool,
     /// Whether the engines refuse old numbers. Only to those does the network double
@@ -89,7 +89,7 @@
         flights: Vec::new(),
         tickets: BTreeMap::new(),
         claims: Vec::new(),
-        wanted: Wanted::from_wants((0..ITEMS).map(want)),
+        wanted: DesiredItems::from_items((0..ITEMS).map(want)),
         reached: BTreeSet::new(),
         settling: false,
         checks,
@@ -126,8 +126,8 @@
     Item::base(&model, 1)
 }
 
-fn want(number: u64) -> Want {
-    Want {
+fn want(number: u64) -> DesiredItem {
+    DesiredItem {
         item: item(number),
         size: Megabytes(20 + 7 * number),
     }
@@ -295,17 +295,17 @@
                 .iter()
                 .map(|(name, e)| (name.clone(), view(e)))
                 .collect();
-            let plan = Plan {
-                books: machine.engines(),
+            let plan = PlanInput {
+                ledgers: machine.engines(),
                 views: &views,
-                wanted: &self.wanted,
+                desired: &self.wanted,
                 demand: &Demand::default(),
-                loads: 4,
+                load_limit: 4,
             };
             return self.desks[node].planner.plan(plan, now);
         }
         let engine = name(&format!("engine-{}", rng.random_range(0..ENGINES)));
-        let Want { item, size } = want(rng.random_range(0..ITEMS));
+        let DesiredItem { item, size } = want(rng.random_range(0..ITEMS));
         if rng.random_range(0..2) == 0 {
             return vec![Step::Load { engine, item, size }];
         }
@@ -423,7 +423,9 @@
             let item = item(number);
             let held = self.engines.values().any(|e| e.state.serves(&item));
             let pinned = world.nodes[0].replica.machine().engines().values();
-            let doubt = pinned.flat_map(|b| b.slots.values()).any(|s| s.doubt);
+            let doubt = pinned
+                .flat_map(|b| b.slots.values())
+                .any(|s| s.unfenced_copies);
             tally.check(Invariant::Reachable, held || doubt, || {
                 format!("{item} is not reachable after all faults have ended")
             });
--- a/crates/faults/src/route_run.rs
+++ b/crates/faults/src/route_run.rs
@@ -4,8 +4,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_route::{
-    Ask, End, Limits, Load, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook,
-    Site, Terms,
+    AttemptEnd, Limits, Load, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest, Router,
+    RouterSettings, ShareBook, UpstreamInfo,
 };
 use shaleline_types::{DataCentre, Millis, Org, RequestId, Service, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let centre = DataCentre::from_text("dc1").expect("the name is valid");
     let settings = RouterSettings {
-        queue: 40,
+        queue_limit: 40,
         ..RouterSettings::new(centre)
     };
     let mut callers = Callers {
@@ -78,13 +78,13 @@
     Route::Service(Service::from_text(&format!("s-{number}")).expect("the name is valid"))
 }
 
-fn site(number: u64) -> Site {
+fn site(number: u64) -> UpstreamInfo {
     let routes = if number % 2 == 0 {
         vec![route(0)]
     } else {
         vec![route(0), route(1)]
     };
-    Site {
+    UpstreamInfo {
         centre: DataCentre::from_text(&format!("dc{number}")).expect("the name is valid"),
         routes,
     }
@@ -105,7 +105,7 @@
             }
             76..84 => RouteEvent::Serves {
                 upstream: name,
-                site: site(number),
+                info: site(number),
             },
             84..90 => RouteEvent::Report {
                 upstream: name,
@@ -146,7 +146,7 @@
             }
             1 => Some(RouteEvent::Serves {
                 upstream: name,
-                site: site(number),
+                info: site(number),
             }),
             2 => Some(RouteEvent::Report {
                 upstream: name,
@@ -158,7 +158,7 @@
             3 => Some(RouteEvent::Tick),
             _ => {
                 let (id, attempt) = self.in_flight(rng)?;
-                let end = End::Whole;
+                let end = AttemptEnd::Whole;
                 Some(RouteEvent::Ended { id, attempt, end })
             }
         }
@@ -181,7 +181,7 @@
                 answers: 0,
             },
         );
-        RouteEvent::Arrive(Box::new(Ask {
+        RouteEvent::Arrive(Box::new(RouteRequest {
             id,
             org,
             route: route(rng.random_range(0..ROUTES)),
@@ -189,7 +189,7 @@
             weight: 1,
             cost: rng.random_range(1..50),
             prefix: Vec::new(),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: now.plus(rng.random_range(100..5_000)),
             repeatable,
             limits: Limits {
@@ -197,7 +197,7 @@
                 concurrency: CONCURRENCY,
                 tokens: 1_000_000,
             },
-            terms: Terms::default(),
+            policy: RequestPolicy::default(),
             identity: None,
         }))
     }
@@ -214,12 +214,12 @@
     fn some_end(&mut self, rng: &mut SmallRng, tally: &mut Tally) -> Option<RouteEvent> {
         let (id, attempt) = self.in_flight(rng)?;
         let end = match rng.random_range(0..100) {
-            0..70 => End::Whole,
-            70..80 => End::NotSent,
-            80..85 => End::Refused,
-            _ => End::Broken,
+            0..70 => AttemptEnd::Whole,
+            70..80 => AttemptEnd::NotSent,
+            80..85 => AttemptEnd::Refused,
+            _ => AttemptEnd::Broken,
         };
-        if end != End::Whole {
+        if end != AttemptEnd::Whole {
             tally.fault();
         }
         Some(RouteEvent::Ended { id, attempt, end })
@@ -243,7 +243,7 @@
         }
         tally.fault();
         let (id, attempt) = stale[rng.random_range(0..stale.len())];
-        let end = End::Whole;
+        let end = AttemptEnd::Whole;
         Some(RouteEvent::Ended { id, attempt, end })
     }
 
@@ -311,7 +311,7 @@
     }
 
     /// The caller's side of an end: a whole answer to the current attempt is passed on.
-    fn note_end(&mut self, id: RequestId, attempt: u32, end: End) {
+    fn note_end(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
         let Some(asked) = self.asked.get_mut(&id) else {
             return;
         };
@@ -321,8 +321,8 @@
         }
         asked.current = None;
         asked.old.push(attempt);
-        asked.may_have_run |= matches!(end, End::Broken);
-        if end == End::Whole {
+        asked.may_have_run |= matches!(end, AttemptEnd::Broken);
+        if end == AttemptEnd::Whole {
             asked.answers += 1;
             asked.old.clear();
         }
--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -1,6 +1,6 @@
 //! Charges requests to their organisations' allowances, and grants from the part kept here.
 //!
-//! `shaleline_route` decides ([`Draw`], [`Granter`]); here is who keeps which part, and the
+//! `shaleline_route` decides ([`GrantRequest`], [`Allocator`]); here is who keeps which part, and the
 //! messages between daemons. `docs/ALLOWANCES.md` has the ways that were weighed.
 
 use crate::dispatch::Ticket;
@@ -9,7 +9,9 @@
 use crate::refuse::Refusal;
 use crate::state::Gateway;
 use crate::OrgRule;
-use shaleline_route::{Allowance, Credits, Draw, DrawStep, Grant, Granter, Tolerance};
+use shaleline_route::{
+    Allocator, Allowance, Credits, GrantRequest, GrantResponse, GrantStep, Tolerance,
+};
 use shaleline_types::{ErrorKind, LogEvent, Millis, Org};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,7 +35,7 @@
 
 /// What a daemon keeps of allowances, has in advance, and has asked for.
 pub(crate) struct Allowances {
-    pub(crate) granter: Granter,
+    pub(crate) granter: Allocator,
     credits: Credits,
     asked: HashMap<u64, Asked>,
     next: u64,
@@ -46,7 +48,7 @@
 impl Allowances {
     pub(crate) fn new(tolerance: Tolerance) -> Self {
         Self {
-            granter: Granter::new(tolerance),
+            granter: Allocator::new(tolerance),
             credits: Credits::default(),
             asked: HashMap::new(),
             next: 0,
@@ -57,7 +59,7 @@
 
     /// Drops what was granted under another allowance.
     pub(crate) fn keep(&mut self, same: impl Fn(&Org) -> bool) {
-        self.credits.keep(same);
+        self.credits.retain(same);
     }
 
     /// Forgets what time has passed over, and questions whose caller has gone.
@@ -108,33 +110,33 @@
         };
         let (org, cost) = (&rule.name, rule.cost(tokens));
         let me = self.me.address;
-        let mut draw = Draw::new(org.clone(), cost, &self.granters());
+        let mut draw = GrantRequest::new(org.clone(), cost, &self.granters());
         let mut step = self.next_granter(&mut draw);
         let mut granter = None;
         loop {
             step = match step {
-                DrawStep::Admit => break,
-                DrawStep::Refuse(wait) => {
+                GrantStep::Admit => break,
+                GrantStep::Refuse(wait) => {
                     let refusal = Refusal::new(ErrorKind::RateLimited).with_org(org.clone());
                     return Err(refusal.with_retry(Some(wait)));
                 }
-                DrawStep::Unanswered => {
+                GrantStep::Unanswered => {
                     let refusal = Refusal::new(ErrorKind::AllowanceUnknown);
                     return Err(refusal.with_org(org.clone()));
                 }
-                DrawStep::Ask(at) if at == me => {
+                GrantStep::Query(at) if at == me => {
                     let held = self.allowances.borrow().held(org);
                     let grant = self.grant(org, &allowance, cost, held);
                     self.on_grant(&mut draw, grant)
                 }
-                DrawStep::Ask(at) => match self.draw_from(at, org, cost).await {
+                GrantStep::Query(at) => match self.draw_from(at, org, cost).await {
                     Some(DrawReply::Granted(_, amount)) => {
                         granter = Some(at);
-                        self.on_grant(&mut draw, Grant::Granted(amount))
+                        self.on_grant(&mut draw, GrantResponse::Granted(amount))
                     }
                     Some(DrawReply::Denied(wait)) => {
                         let wait = Millis(u64::from(wait));
-                        self.on_grant(&mut draw, Grant::Denied(wait))
+                        self.on_grant(&mut draw, GrantResponse::Denied(wait))
                     }
                     Some(DrawReply::Unknown) | None => self.next_granter(&mut draw),
                 },
@@ -147,11 +149,11 @@
         }))
     }
 
-    fn next_granter(&self, draw: &mut Draw) -> DrawStep {
-        draw.next(&mut self.allowances.borrow_mut().credits, self.now())
+    fn next_granter(&self, draw: &mut GrantRequest) -> GrantStep {
+        draw.next_step(&mut self.allowances.borrow_mut().credits, self.now())
     }
 
-    fn on_grant(&self, draw: &mut Draw, grant: Grant) -> DrawStep {
+    fn on_grant(&self, draw: &mut GrantRequest, grant: GrantResponse) -> GrantStep {
         let credits = &mut self.allowances.borrow_mut().credits;
         draw.on_grant(grant, credits, self.now())
     }
@@ -201,13 +203,13 @@
     }
 
     /// Grants from the part that is kept here.
-    fn grant(&self, org: &Org, allowance: &Allowance, cost: u64, held: u64) -> Grant {
+    fn grant(&self, org: &Org, allowance: &Allowance, cost: u64, held: u64) -> GrantResponse {
         let now = self.now();
         let mut allowances = self.allowances.borrow_mut();
-        let grant = allowances.granter.ask(org, allowance, cost, held, now);
-        if let Grant::Denied(wait) = grant {
+        let grant = allowances.granter.request(org, allowance, cost, held, now);
+        if let GrantResponse::Denied(wait) = grant {
             if allowances.may_say(org, now) {
-                let part = allowances.granter.part().of_all;
+                let part = allowances.granter.share().fraction;
                 let version = self.table().map_or(0, |t| t.version);
                 let wait = wait.0;
                 emit(
@@ -226,11 +228,11 @@
         let allowance = self.table().and_then(|t| t.allowance(org));
         let grant = allowance.map(|a| self.grant(org, &a, cost, held));
         let reply = match grant {
-            Some(Grant::Granted(amount)) => DrawReply::Granted(org.clone(), amount),
-            Some(Grant::Denied(wait)) => {
+            Some(GrantResponse::Granted(amount)) => DrawReply::Granted(org.clone(), amount),
+            Some(GrantResponse::Denied(wait)) => {
                 DrawReply::Denied(u32::try_from(wait.0).unwrap_or(u32::MAX))
             }
-            Some(Grant::Nothing) | None => DrawReply::Unknown,
+            Some(GrantResponse::NoShare) | None => DrawReply::Unknown,
         };
         self.send(vec![(from.address, Message::Drawn(ticket, reply))]);
     }
@@ -289,6 +291,6 @@
             .set_tolerance(self.bounds.borrow().tolerance);
         allowances
             .granter
-            .set_part(part, |org| table.allowance(org), now);
+            .set_share(part, |org| table.allowance(org), now);
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -12,7 +12,7 @@
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use shaleline_edge::{Exchange, Reply, ReplyBody, SendError};
-use shaleline_route::{AttemptNumber, End, Load, RouteAction, RouteEvent};
+use shaleline_route::{AttemptEnd, AttemptNumber, Load, RouteAction, RouteEvent};
 use shaleline_types::{LogEvent, StartTag, Upstream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -77,12 +77,12 @@
 }
 
 impl Failure {
-    const fn to_end(self, start: StartTag) -> Option<End> {
+    const fn to_end(self, start: StartTag) -> Option<AttemptEnd> {
         match self {
-            Self::Ended => Some(End::UpstreamEnded(start)),
-            Self::NotSent => Some(End::NotSent),
-            Self::Refused(_) => Some(End::Refused),
-            Self::Broken | Self::Garbled => Some(End::Broken),
+            Self::Ended => Some(AttemptEnd::UpstreamEnded(start)),
+            Self::NotSent => Some(AttemptEnd::NotSent),
+            Self::Refused(_) => Some(AttemptEnd::Refused),
+            Self::Broken | Self::Garbled => Some(AttemptEnd::Broken),
             Self::Moved | Self::Late => None,
         }
     }
@@ -338,7 +338,7 @@
     status: StatusCode,
 ) -> Ended {
     if status.is_server_error() {
-        permit.end(attempt, End::Broken);
+        permit.end(attempt, AttemptEnd::Broken);
         if job.is_idempotent() {
             return Ended::Failed(permit, reply);
         }
@@ -346,7 +346,7 @@
         gw.metrics.count_request("upstream-answer");
         return Ended::Answered(reply);
     }
-    permit.end(attempt, End::Whole);
+    permit.end(attempt, AttemptEnd::Whole);
     gw.metrics.note_first(gw.now().since(job.arrived));
     gw.metrics.count_request("ok");
     log_end(gw, job, &permit, LogEvent::RequestEnded, "ok");
--- a/crates/gateway/src/choosing.rs
+++ b/crates/gateway/src/choosing.rs
@@ -9,7 +9,7 @@
 use crate::job::{org, LIMITS};
 use crate::message::{Message, Sender, Tag};
 use crate::state::Gateway;
-use shaleline_route::{Ask, AttemptNumber, End, Route, RouteAction, RouteEvent};
+use shaleline_route::{AttemptEnd, AttemptNumber, Route, RouteAction, RouteEvent, RouteRequest};
 use shaleline_types::{Adapter, ErrorKind, Model, RequestId, Upstream};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 impl Gateway {
     /// Asks for an upstream, here or there.
-    pub(crate) fn ask_for(&self, ask: Ask) {
+    pub(crate) fn ask_for(&self, ask: RouteRequest) {
         let now = self.now();
         let answers = |hub| self.asked.borrow().trusts(hub, now);
         let key = key_of(&ask.route);
@@ -58,7 +58,7 @@
     }
 
     /// Notes how a send ended.
-    pub(crate) fn on_end(&self, id: RequestId, attempt: AttemptNumber, end: End) {
+    pub(crate) fn on_end(&self, id: RequestId, attempt: AttemptNumber, end: AttemptEnd) {
         if !self.report(id, Progressed::Ended(attempt, EndNote::of(end))) {
             self.route(RouteEvent::Ended { id, attempt, end });
         }
@@ -186,12 +186,12 @@
             Progressed::Gone => self.close_guest(id),
             Progressed::Ended(attempt, end) => {
                 let end = end.to_end();
-                if end == End::NotSent {
+                if end == AttemptEnd::NotSent {
                     self.note_unreached(id);
                 }
                 self.desk.borrow_mut().wait(id);
                 self.route(RouteEvent::Ended { id, attempt, end });
-                if matches!(end, End::Whole | End::Cancelled) {
+                if matches!(end, AttemptEnd::Whole | AttemptEnd::Cancelled) {
                     self.desk.borrow_mut().close(id);
                 }
             }
@@ -214,7 +214,7 @@
         let names = self.upstream_tags.borrow();
         let mut router = self.router.borrow_mut();
         for upstream in alive.iter().filter_map(|t| names.get(t)) {
-            router.note_alive(upstream, now);
+            router.record_activity(upstream, now);
         }
     }
 
@@ -231,7 +231,9 @@
                     attempt,
                     upstream,
                     ..
-                } if self.is_out_of_use(upstream) => self.on_end(*id, *attempt, End::Refused),
+                } if self.is_out_of_use(upstream) => {
+                    self.on_end(*id, *attempt, AttemptEnd::Refused);
+                }
                 _ => self.hand(&action),
             }
         }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use serde_json::json;
 use shaleline_edge::{Handler, Reply, ReplyBody};
-use shaleline_route::{CrashRecord, MOST_ENDS};
+use shaleline_route::{CrashRecord, MAX_CRASHES};
 use shaleline_types::Fingerprint;
 use std::future::Future;
 use std::pin::Pin;
@@ -102,7 +102,7 @@
     let suspect = |s: &CrashRecord| {
         let ended: Vec<String> = s.ended.iter().map(ToString::to_string).collect();
         json!({
-            "request": s.request.to_string(), "blocked": ended.len() >= MOST_ENDS,
+            "request": s.request.to_string(), "blocked": ended.len() >= MAX_CRASHES,
             "ended": ended, "age_ms": s.age.0,
         })
     };
@@ -112,7 +112,7 @@
     json!({
         "keys": {"known": gw.knows_keys(), "age_ms": gw.config_age().map(|a| a.0),
             "organisations": gw.table().and_then(|t| Some(t.orgs.as_ref()?.iter().count()))},
-        "allowances": {"part": allowances.granter.part().of_all,
+        "allowances": {"part": allowances.granter.share().fraction,
             "left": levels.collect::<serde_json::Map<_, _>>()},
         "instance": gw.me.instance.as_str(),
         "ready": gw.is_ready(),
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -11,7 +11,9 @@
 
 use crate::message::Message;
 use serde::{Deserialize, Serialize};
-use shaleline_route::{Ask, AttemptNumber, End, Limits, Route, RouteAction, Terms};
+use shaleline_route::{
+    AttemptEnd, AttemptNumber, Limits, RequestPolicy, Route, RouteAction, RouteRequest,
+};
 use shaleline_types::{
     Adapter, ErrorKind, Identity, Millis, Model, Org, RequestId, Service, StartTag, Upstream,
 };
@@ -92,28 +94,34 @@
 }
 
 impl AskNote {
-    pub(crate) fn of(ask: &Ask, now: Millis) -> Self {
+    pub(crate) fn of(ask: &RouteRequest, now: Millis) -> Self {
         Self {
             asks: Asks::of(&ask.route),
             priority: ask.priority,
             cost: ask.cost,
             prefix: ask.prefix.clone(),
-            sizes: ask.sizes.clone(),
+            sizes: ask.block_sizes.clone(),
             due: span(Millis(ask.due.since(now))),
             repeatable: ask.repeatable,
-            wait: ask.terms.wait.map(span),
-            attempts: ask.terms.attempts,
-            stall: ask.terms.stall.map(span),
-            most: ask.terms.most.map(span),
-            urgent: ask.terms.urgent,
-            pace: ask.terms.pace.map(span),
+            wait: ask.policy.max_wait.map(span),
+            attempts: ask.policy.max_attempts,
+            stall: ask.policy.stall_timeout.map(span),
+            most: ask.policy.max_expected.map(span),
+            urgent: ask.policy.urgent,
+            pace: ask.policy.backlog_limit.map(span),
             identity: ask.identity,
         }
     }
 
     /// The request as one of this daemon's router, under a number of its own.
-    pub(crate) fn into_ask(self, id: RequestId, org: Org, limits: Limits, now: Millis) -> Ask {
-        Ask {
+    pub(crate) fn into_ask(
+        self,
+        id: RequestId,
+        org: Org,
+        limits: Limits,
+        now: Millis,
+    ) -> RouteRequest {
+        RouteRequest {
             id,
             org,
             route: self.asks.into_route(),
@@ -121,17 +129,17 @@
             weight: 1,
             cost: self.cost,
             prefix: self.prefix,
-            sizes: self.sizes,
+            block_sizes: self.sizes,
             due: now.plus(u64::from(self.due)),
             repeatable: self.repeatable,
             limits,
-            terms: Terms {
-                wait: self.wait.map(millis),
-                attempts: self.attempts,
-                stall: self.stall.map(millis),
-                most: self.most.map(millis),
+            policy: RequestPolicy {
+                max_wait: self.wait.map(millis),
+                max_attempts: self.attempts,
+                stall_timeout: self.stall.map(millis),
+                max_expected: self.most.map(millis),
                 urgent: self.urgent,
-                pace: self.pace.map(millis),
+                backlog_limit: self.pace.map(millis),
             },
             identity: self.identity,
         }
@@ -161,25 +169,25 @@
 }
 
 impl EndNote {
-    pub(crate) const fn of(end: End) -> Self {
+    pub(crate) const fn of(end: AttemptEnd) -> Self {
         match end {
-            End::Whole => Self::Whole,
-            End::NotSent => Self::NotSent,
-            End::Refused => Self::Refused,
-            End::Broken => Self::Broken,
-            End::UpstreamEnded(start) => Self::UpstreamEnded(start),
-            End::Cancelled => Self::Cancelled,
+            AttemptEnd::Whole => Self::Whole,
+            AttemptEnd::NotSent => Self::NotSent,
+            AttemptEnd::Refused => Self::Refused,
+            AttemptEnd::Broken => Self::Broken,
+            AttemptEnd::UpstreamEnded(start) => Self::UpstreamEnded(start),
+            AttemptEnd::Cancelled => Self::Cancelled,
         }
     }
 
-    pub(crate) const fn to_end(self) -> End {
+    pub(crate) const fn to_end(self) -> AttemptEnd {
         match self {
-            Self::Whole => End::Whole,
-            Self::NotSent => End::NotSent,
-            Self::Refused => End::Refused,
-            Self::Broken => End::Broken,
-            Self::UpstreamEnded(start) => End::UpstreamEnded(start),
-            Self::Cancelled => End::Cancelled,
+            Self::Whole => AttemptEnd::Whole,
+            Self::NotSent => AttemptEnd::NotSent,
+            Self::Refused => AttemptEnd::Refused,
+            Self::Broken => AttemptEnd::Broken,
+            Self::UpstreamEnded(start) => AttemptEnd::UpstreamEnded(start),
+            Self::Cancelled => AttemptEnd::Cancelled,
         }
     }
 }
@@ -270,7 +278,7 @@
     /// The newest attempt that was answered with a place to send to, and where.
     attempt: AttemptNumber,
     at: Option<Upstream>,
-    ask: Ask,
+    ask: RouteRequest,
 }
 
 /// What to do next about a request.
@@ -279,7 +287,7 @@
     /// Send this to whoever chooses.
     Tell(SocketAddr, Box<Message>),
     /// Choose here: it was not sent anywhere yet.
-    Decide(Box<Ask>),
+    Decide(Box<RouteRequest>),
     /// Give it up: it was sent, and nobody says where next.
     GiveUp(RequestId),
 }
@@ -317,7 +325,7 @@
     }
 
     /// Asks that daemon for an upstream.
-    pub(crate) fn ask(&mut self, ask: Ask, to: SocketAddr, now: Millis) -> Message {
+    pub(crate) fn ask(&mut self, ask: RouteRequest, to: SocketAddr, now: Millis) -> Message {
         let message = self.question(&ask, now);
         let remote = Remote {
             to,
@@ -333,7 +341,7 @@
         message
     }
 
-    fn question(&self, ask: &Ask, now: Millis) -> Message {
+    fn question(&self, ask: &RouteRequest, now: Millis) -> Message {
         Message::Ask(self.ticket(ask.id), Box::new(AskNote::of(ask, now)))
     }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -9,7 +9,7 @@
 use crate::roster::Seen;
 use crate::state::Gateway;
 use shaleline_fleet::Rate;
-use shaleline_route::{PeerLoad, PeerSight, RouteEvent};
+use shaleline_route::{PeerLoad, PeerVisibility, RouteEvent};
 use shaleline_types::{LogEvent, Millis, Upstream};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -63,28 +63,28 @@
 const OTHERS_PART: f64 = 0.3;
 
 /// The part of the pace for a daemon's own prompts where it chooses beside the others; see
-/// [`PeerSight::own_part`].
+/// [`PeerVisibility::own_share`].
 const OWN_PART: f64 = 0.1;
 
 impl Gateway {
     /// How well this daemon knows what the others send. What arrives at an upstream since they
     /// last told of it is not known, but for this daemon's own part; a hub sends what it chooses
     /// for all itself.
-    fn sight(&self) -> PeerSight {
+    fn sight(&self) -> PeerVisibility {
         let now = self.now();
         let age = self.tell_every().0 as f64;
         let mut mesh = self.mesh.borrow_mut();
         if mesh.is_hub(now) {
             let hubs = mesh.choosers(now) as f64;
-            return PeerSight {
-                unseen: age * AT_WORK * OTHERS_PART * (1.0 - 1.0 / hubs),
-                own_part: 1.0,
+            return PeerVisibility {
+                unseen_ms: age * AT_WORK * OTHERS_PART * (1.0 - 1.0 / hubs),
+                own_share: 1.0,
             };
         }
         let daemons = mesh.alive() as f64;
-        PeerSight {
-            unseen: age * HOPS * AT_WORK * (1.0 - 1.0 / daemons),
-            own_part: OWN_PART,
+        PeerVisibility {
+            unseen_ms: age * HOPS * AT_WORK * (1.0 - 1.0 / daemons),
+            own_share: OWN_PART,
         }
     }
 }
@@ -100,7 +100,7 @@
     gw.share_budget();
     gw.share_allowances();
     let sight = gw.sight();
-    gw.router.borrow_mut().set_sight(sight);
+    gw.router.borrow_mut().set_peer_visibility(sight);
     let now = gw.now();
     let note = load_note(gw);
     let mark = gw.reading.borrow().mark(now);
@@ -135,7 +135,7 @@
         urgent: l.urgent as u32,
         backlog: l.backlog as u32,
     };
-    let loads = router.names().filter_map(|n| {
+    let loads = router.upstream_names().filter_map(|n| {
         let load = router.own_load(n)?;
         (load.running > 0).then(|| (Tag::of_upstream(n), note(load)))
     });
@@ -181,7 +181,7 @@
 /// Tells the router what the others have.
 fn pass_loads(gw: &Gateway) {
     let loads = gw.mesh.borrow().others(gw.now());
-    let names: Vec<Upstream> = gw.router.borrow().names().cloned().collect();
+    let names: Vec<Upstream> = gw.router.borrow().upstream_names().cloned().collect();
     for upstream in names {
         let note = loads
             .get(&Tag::of_upstream(&upstream))
@@ -192,7 +192,7 @@
             urgent: f64::from(note.urgent),
             backlog: f64::from(note.backlog),
         };
-        gw.route(RouteEvent::Peers { upstream, load });
+        gw.route(RouteEvent::PeerReport { upstream, load });
     }
 }
 
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -11,7 +11,7 @@
 use crate::{Head, RouteRule};
 use bytes::Bytes;
 use hyper::{HeaderMap, Method};
-use shaleline_route::{Ask, Limits, Route, Terms};
+use shaleline_route::{Limits, RequestPolicy, Route, RouteRequest};
 use shaleline_types::{stable_hash, Identity, Millis, Org, RequestId, Service};
 
 /// Requests whose target is no longer than this are served before others.
@@ -146,11 +146,11 @@
     }
 
     /// What the router is asked, where some upstream serves the model or none does.
-    pub(crate) fn to_ask(&self, id: RequestId, served: bool) -> Ask {
-        let (prefix, sizes) = self.prefix();
+    pub(crate) fn to_ask(&self, id: RequestId, served: bool) -> RouteRequest {
+        let (prefix, block_sizes) = self.prefix();
         let (least, most) = STALL_BOUNDS;
         let stall = (self.rule.target.0 * STALL_TARGETS).clamp(least, most);
-        Ask {
+        RouteRequest {
             id,
             org: org(),
             route: self.route(),
@@ -158,17 +158,17 @@
             weight: 1,
             cost: (self.head.prompt + self.head.output).max(1),
             prefix,
-            sizes,
+            block_sizes,
             due: self.deadline,
             repeatable: self.is_idempotent(),
             limits: LIMITS,
-            terms: Terms {
-                wait: Some(Millis(self.wait(served))),
-                attempts: Some(self.rule.attempts),
-                most: Some(Millis(self.rule.target.0 * MOST_TARGETS)),
-                stall: self.is_idempotent().then_some(Millis(stall)),
+            policy: RequestPolicy {
+                max_wait: Some(Millis(self.wait(served))),
+                max_attempts: Some(self.rule.attempts),
+                max_expected: Some(Millis(self.rule.target.0 * MOST_TARGETS)),
+                stall_timeout: self.is_idempotent().then_some(Millis(stall)),
                 urgent: self.is_urgent(),
-                pace: self.pace(),
+                backlog_limit: self.pace(),
             },
             identity: Some(self.identity),
         }
@@ -205,12 +205,12 @@
     fn prefix(&self) -> (Vec<u64>, Vec<u32>) {
         let mut last = stable_hash(&[&self.route().to_string()]);
         let mut chain = Vec::with_capacity(self.head.parts.len());
-        let mut sizes = Vec::with_capacity(self.head.parts.len());
+        let mut block_sizes = Vec::with_capacity(self.head.parts.len());
         for (id, tokens) in &self.head.parts {
             last = stable_hash(&[&last.to_string(), &id.to_string()]);
             chain.push(last);
-            sizes.push(*tokens);
+            block_sizes.push(*tokens);
         }
-        (chain, sizes)
+        (chain, block_sizes)
     }
 }
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -9,7 +9,7 @@
 use crate::link::Link;
 use crate::state::Gateway;
 use crate::store::{Record, StoreResult, Topic};
-use shaleline_route::{CrashNote, MOST_ENDS};
+use shaleline_route::{CrashNote, MAX_CRASHES};
 use shaleline_types::{Fingerprint, LogEvent, Millis};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// A request under which so many upstreams ended is written down.
-const KEPT_ENDS: usize = MOST_ENDS - 1;
+const KEPT_ENDS: usize = MAX_CRASHES - 1;
 
 /// What is written down, with how many upstreams ended.
 type Written = BTreeMap<Fingerprint, usize>;
@@ -99,7 +99,7 @@
     let is_new = |n: &CrashNote| {
         let known = written.get(&n.identity.request).copied().unwrap_or(0);
         // What is blocked need not be written again.
-        known < n.ended.len().min(MOST_ENDS)
+        known < n.ended.len().min(MAX_CRASHES)
     };
     let new = kept.into_iter().find(is_new);
     let new = new.map(|n| (n.identity.request, Some(n)));
@@ -114,7 +114,7 @@
 fn kept(gw: &Gateway, now: Millis) -> Vec<CrashNote> {
     let router = gw.router.borrow();
     let crashes = router.crashes();
-    let grave = crashes.grave(now).into_iter();
-    let kept = grave.filter(|n| crashes.ends(&n.identity.request) >= KEPT_ENDS);
+    let grave = crashes.repeated(now).into_iter();
+    let kept = grave.filter(|n| crashes.crash_count(&n.identity.request) >= KEPT_ENDS);
     kept.map(|n| CrashNote { age: 0, ..n }).collect()
 }
--- a/crates/gateway/src/parts.rs
+++ b/crates/gateway/src/parts.rs
@@ -4,7 +4,7 @@
 //! their hub. `docs/ALLOWANCES.md` argues why the parts never add up to more than all.
 
 use crate::mesh::{Mesh, Told};
-use shaleline_route::Part;
+use shaleline_route::AllocatorShare;
 use shaleline_types::Millis;
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
     /// The part of all allowances that this daemon may grant from: that of its data centre, as far
     /// as its daemons have told this one that they take it for their hub. Each tells one only, so
     /// the parts of two that take themselves for the hub add up to no more.
-    pub(crate) fn granted_part(&mut self, centres: usize, now: Millis) -> Part {
+    pub(crate) fn granted_part(&mut self, centres: usize, now: Millis) -> AllocatorShare {
         let own = usize::from(self.sits(now));
         let fresh = |t: &&Told| now.since(t.at) < VOTE_MS;
         let votes = own + self.notes.values().filter(fresh).count();
@@ -74,8 +74,8 @@
             false => self.near_known(now).max(CUT_OFF),
         };
         let centres = centres.max(self.peers.centres().count());
-        Part {
-            of_all: (votes as f64 / f64::from(known)).min(1.0) / centres as f64,
+        AllocatorShare {
+            fraction: (votes as f64 / f64::from(known)).min(1.0) / centres as f64,
             daemons: self.alive().max(self.known()),
         }
     }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use crate::table::Repeat;
 use bytes::Bytes;
 use shaleline_edge::Chunk;
-use shaleline_route::{End, RouteAction};
+use shaleline_route::{AttemptEnd, RouteAction};
 use shaleline_types::LogEvent;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -144,7 +144,7 @@
             sender,
         } = self;
         if matches!(part, Part::Whole) {
-            permit.end(sent.attempt, End::Whole);
+            permit.end(sent.attempt, AttemptEnd::Whole);
             // A caller that left just now has its whole answer all the same.
             sender.send(Chunk::End).await.ok();
         }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -17,7 +17,7 @@
 use hyper::header::HOST;
 use hyper::Request;
 use shaleline_edge::{CallerAddress, Handler, Reply};
-use shaleline_route::{AttemptNumber, End, RouteAction};
+use shaleline_route::{AttemptEnd, AttemptNumber, RouteAction};
 use shaleline_types::{ErrorKind, Identity, LogEvent, Millis, RequestId, Upstream};
 use std::future::Future;
 use std::pin::Pin;
@@ -118,8 +118,8 @@
         }
     }
 
-    pub(crate) fn end(&mut self, attempt: AttemptNumber, end: End) {
-        self.open &= !matches!(end, End::Whole | End::Cancelled);
+    pub(crate) fn end(&mut self, attempt: AttemptNumber, end: AttemptEnd) {
+        self.open &= !matches!(end, AttemptEnd::Whole | AttemptEnd::Cancelled);
         self.gw.on_end(self.id, attempt, end);
     }
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -188,7 +188,7 @@
         let load = gw.router.borrow().own_load(n);
         unlisted && load.is_none_or(|l| l.running == 0)
     };
-    let names: Vec<Upstream> = gw.router.borrow().names().cloned().collect();
+    let names: Vec<Upstream> = gw.router.borrow().upstream_names().cloned().collect();
     for name in names.into_iter().filter(idle) {
         gw.route(RouteEvent::Removed(name));
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,8 @@
 use shaleline_edge::{Clock, Gate, Pool, PoolSettings, Target};
 use shaleline_fleet::{Claim, ClaimSettings, Demand, Fleet, LastOrders, Sighting, UnmetDemand};
 use shaleline_route::{
-    Load, RetrySettings, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook, Site,
+    Load, RetrySettings, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook,
+    UpstreamInfo,
 };
 use shaleline_types::{
     ErrorKind, Incarnation, LogEvent, Millis, Model, Org, RequestId, Service, Upstream,
@@ -185,7 +186,7 @@
             most: CONNECTIONS,
         };
         let router = RouterSettings {
-            token: settings.policy.token,
+            token_ms: settings.policy.token,
             seed: rng.random(),
             ..RouterSettings::new(settings.centre.clone())
         };
@@ -360,16 +361,16 @@
 
     /// Tells the router what an upstream serves now.
     pub(crate) fn publish(&self, name: &Upstream) {
-        let Some(site) = self.site(name) else {
+        let Some(info) = self.site(name) else {
             return;
         };
         self.route(RouteEvent::Serves {
             upstream: name.clone(),
-            site,
+            info,
         });
     }
 
-    fn site(&self, name: &Upstream) -> Option<Site> {
+    fn site(&self, name: &Upstream) -> Option<UpstreamInfo> {
         let roster = self.roster.borrow();
         let entry = roster.get(name)?;
         let mut routes = Vec::new();
@@ -392,7 +393,7 @@
             routes.push(route(None));
             routes.extend(adapters.iter().map(|a| route(Some(a.clone()))));
         }
-        Some(Site {
+        Some(UpstreamInfo {
             centre: entry.centre.clone(),
             routes,
         })
@@ -481,11 +482,11 @@
         };
         drop(mesh);
         let bounds = self.bounds.borrow();
-        let most = (bounds.retry_extra * share * BUDGET_USED).max(1.0);
+        let max_saved = (bounds.retry_extra * share * BUDGET_USED).max(1.0);
         self.router.borrow_mut().set_retries(RetrySettings {
-            earned: bounds.retry_ratio * BUDGET_USED,
-            most,
-            start: most,
+            per_success: bounds.retry_ratio * BUDGET_USED,
+            max_saved,
+            initial: max_saved,
         });
     }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -11,7 +11,7 @@
 use crate::mesh::Concerns;
 use crate::message::{Message, Sender};
 use crate::state::Gateway;
-use shaleline_route::{Ask, CrashNote, RouteAction, MOST_ENDS};
+use shaleline_route::{CrashNote, RouteAction, RouteRequest, MAX_CRASHES};
 use shaleline_types::{ErrorKind, Fingerprint, Identity, LogEvent};
 use std::net::SocketAddr;
 
@@ -26,11 +26,11 @@
     /// Refuses a request that may not be sent, or not by this daemon alone: one under which upstreams
     /// ended goes nowhere while whoever chooses for it does not answer, since this daemon does not
     /// know where its other copies are.
-    pub(crate) fn refuse_suspect(&self, ask: &Ask, alone: bool) -> bool {
-        let ends = self.router.borrow().ends_of(ask);
+    pub(crate) fn refuse_suspect(&self, ask: &RouteRequest, alone: bool) -> bool {
+        let ends = self.router.borrow().crash_count(ask);
         let kind = match ends {
             0 => return false,
-            MOST_ENDS.. => ErrorKind::EndsUpstreams,
+            MAX_CRASHES.. => ErrorKind::EndsUpstreams,
             _ if alone => ErrorKind::NoUpstream,
             _ => return false,
         };
@@ -86,9 +86,9 @@
         let router = self.router.borrow();
         let (known, blocked) = router.crashes().counts();
         self.metrics.note_suspects(known, blocked);
-        let event = match router.crashes().ends(request) {
+        let event = match router.crashes().crash_count(request) {
             0 => LogEvent::RequestCleared,
-            MOST_ENDS.. => LogEvent::RequestBlocked,
+            MAX_CRASHES.. => LogEvent::RequestBlocked,
             _ => return,
         };
         emit(event, &format!("request={request}"));
@@ -141,7 +141,7 @@
             return;
         }
         self.evened.set(now);
-        let notes = self.router.borrow().crashes().grave(now);
+        let notes = self.router.borrow().crashes().repeated(now);
         self.send_crashes(from.address, notes.iter(), true);
     }
 
@@ -152,7 +152,7 @@
         let now = self.now();
         let notes = match all {
             true => router.crashes().all(now),
-            false => router.crashes().grave(now),
+            false => router.crashes().repeated(now),
         };
         drop(router);
         self.send_crashes(from.address, notes.iter(), false);
--- a/crates/gateway/tests/unit/choosing.rs
+++ b/crates/gateway/tests/unit/choosing.rs
@@ -12,7 +12,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_route::{
-    Ask, End, Load, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook, Site, Terms,
+    AttemptEnd, Load, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest, Router,
+    RouterSettings, ShareBook, UpstreamInfo,
 };
 use shaleline_types::{DataCentre, Millis, RequestId, Service, Upstream};
 use std::collections::{BTreeMap, HashMap};
@@ -98,7 +99,7 @@
         let mut router = Router::new(settings, ShareBook::alone("me"));
         for number in 0..UPSTREAMS {
             let upstream = upstream(number);
-            let site = Site {
+            let info = UpstreamInfo {
                 centre: centre.clone(),
                 routes: vec![route()],
             };
@@ -108,7 +109,7 @@
             };
             let serves = RouteEvent::Serves {
                 upstream: upstream.clone(),
-                site,
+                info,
             };
             router.step(serves, Millis(START));
             router.step(RouteEvent::Report { upstream, load }, Millis(START));
@@ -163,7 +164,7 @@
     fn ask(&mut self, daemon: usize) {
         self.next += 1;
         let id = RequestId(self.next);
-        let ask = Ask {
+        let ask = RouteRequest {
             identity: None,
             id,
             org: org(),
@@ -172,13 +173,13 @@
             weight: 1,
             cost: 1,
             prefix: Vec::new(),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: Millis(self.now + 2_500),
             repeatable: false,
             limits: LIMITS,
-            terms: Terms {
-                wait: Some(Millis(75)),
-                ..Terms::default()
+            policy: RequestPolicy {
+                max_wait: Some(Millis(75)),
+                ..RequestPolicy::default()
             },
         };
         self.calls.insert((daemon, id), (self.now, 0));
@@ -236,7 +237,7 @@
                         self.desk.wait(id);
                         let end = end.to_end();
                         self.route(RouteEvent::Ended { id, attempt, end });
-                        if end == End::Whole {
+                        if end == AttemptEnd::Whole {
                             self.desk.close(id);
                         }
                     }
@@ -416,8 +417,8 @@
     Ticket { life: 1, id }
 }
 
-fn ask(id: u64) -> Ask {
-    Ask {
+fn ask(id: u64) -> RouteRequest {
+    RouteRequest {
         id: RequestId(id),
         org: org(),
         route: route(),
@@ -425,11 +426,11 @@
         weight: 1,
         cost: 1,
         prefix: Vec::new(),
-        sizes: Vec::new(),
+        block_sizes: Vec::new(),
         due: Millis(START + 2_500),
         repeatable: true,
         limits: LIMITS,
-        terms: Terms::default(),
+        policy: RequestPolicy::default(),
         identity: None,
     }
 }
--- a/crates/gateway/tests/unit/crashes/world.rs
+++ b/crates/gateway/tests/unit/crashes/world.rs
@@ -22,7 +22,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_edge::{Clock, Time};
-use shaleline_route::{RouteAction, Tolerance, MOST_ENDS};
+use shaleline_route::{RouteAction, Tolerance, MAX_CRASHES};
 use shaleline_types::{DataCentre, ErrorKind, Identity, Instance, Millis, Service, Upstream};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -288,7 +288,7 @@
     /// Whether the daemon that chooses sends a request no more.
     pub fn is_blocked(&self, name: u64) -> bool {
         let router = self.daemons[self.chooser()].gw.router.borrow();
-        router.crashes().ends(&identity(name).request) >= MOST_ENDS
+        router.crashes().crash_count(&identity(name).request) >= MAX_CRASHES
     }
 
     /// One of so many.
--- a/crates/gateway/tests/unit/crashes/world/servers.rs
+++ b/crates/gateway/tests/unit/crashes/world/servers.rs
@@ -4,7 +4,7 @@
 use crate::attempt::Failure;
 use crate::roster::Seen;
 use crate::Entry;
-use shaleline_route::End;
+use shaleline_route::AttemptEnd;
 use shaleline_types::{DataCentre, Incarnation, Service, Upstream};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -140,7 +140,7 @@
             for call in done {
                 let call = &mut self.calls[call];
                 if let (Some(permit), Some(sent)) = (&mut call.permit, &call.sent) {
-                    permit.end(sent.attempt, End::Whole);
+                    permit.end(sent.attempt, AttemptEnd::Whole);
                     call.sent = None;
                 }
             }
--- a/crates/gateway/tests/unit/job.rs
+++ b/crates/gateway/tests/unit/job.rs
@@ -92,7 +92,7 @@
 #[test]
 fn what_the_router_is_asked_carries_the_terms() {
     let ask = job(CHAT, false).to_ask(RequestId(1), true);
-    assert_eq!(ask.terms.wait, Some(Millis(300)));
-    assert_eq!(ask.terms.pace, Some(Millis(125)));
+    assert_eq!(ask.policy.max_wait, Some(Millis(300)));
+    assert_eq!(ask.policy.backlog_limit, Some(Millis(125)));
     assert_eq!(ask.due, NOW.plus(9_000));
 }
--- a/crates/gateway/tests/unit/mesh.rs
+++ b/crates/gateway/tests/unit/mesh.rs
@@ -145,7 +145,7 @@
         let (now, down) = (self.now, &self.down);
         let alive = self.daemons.iter_mut().filter(|(a, _)| !down.contains(a));
         alive
-            .map(|(_, (_, m))| m.granted_part(CENTRES, now).of_all)
+            .map(|(_, (_, m))| m.granted_part(CENTRES, now).fraction)
             .sum()
     }
 
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 use shaleline_edge::{Clock, Time};
 use shaleline_fleet::{ClaimAction, ClaimView};
-use shaleline_route::{Ask, Limits, Route, RouteEvent, Terms};
+use shaleline_route::{Limits, RequestPolicy, Route, RouteEvent, RouteRequest};
 use shaleline_types::{DataCentre, Incarnation, Org, RequestId, Service, Upstream};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -81,7 +81,7 @@
 
     /// A request whose caller waits two seconds.
     fn ask(&self, id: u64) {
-        let ask = Ask {
+        let ask = RouteRequest {
             id: RequestId(id),
             org: Org::from_text("o").expect("a valid name"),
             route: Route::Service(Service::from_text("svc").expect("a valid name")),
@@ -89,7 +89,7 @@
             weight: 1,
             cost: 1,
             prefix: Vec::new(),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: self.gw.now().plus(2_000),
             repeatable: false,
             limits: Limits {
@@ -97,7 +97,7 @@
                 concurrency: 1_000,
                 tokens: 1_000_000,
             },
-            terms: Terms::default(),
+            policy: RequestPolicy::default(),
             identity: None,
         };
         self.gw.route(RouteEvent::Arrive(Box::new(ask)));
--- a/crates/place/src/baseline.rs
+++ b/crates/place/src/baseline.rs
@@ -1,6 +1,6 @@
 //! Baselines that the policy has to beat, kept in the tree so that they stay comparable.
 
-use crate::{EngineBook, Item, Plan, Policy, SlotState, Step};
+use crate::{EngineLedger, Item, PlanInput, Policy, SlotState, Step};
 use shaleline_types::{Megabytes, Millis, Model, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,14 +13,14 @@
 impl StaticPlanner {
     /// First one replica of everything, largest first, then more in the same order while
     /// memory lasts.
-    fn assign(plan: Plan<'_>) -> BTreeMap<Upstream, Vec<(Item, Megabytes)>> {
+    fn assign(plan: PlanInput<'_>) -> BTreeMap<Upstream, Vec<(Item, Megabytes)>> {
         let mut free: BTreeMap<&Upstream, u64> =
-            plan.books.iter().map(|(e, b)| (e, b.memory.0)).collect();
+            plan.ledgers.iter().map(|(e, b)| (e, b.memory.0)).collect();
         let mut targets: BTreeMap<Upstream, Vec<(Item, Megabytes)>> = BTreeMap::new();
         let mut bases: Vec<(&Item, Megabytes)> = plan
-            .wanted
+            .desired
             .bases()
-            .map(|(i, _)| (i, plan.wanted.whole_size(i)))
+            .map(|(i, _)| (i, plan.desired.whole_size(i)))
             .collect();
         bases.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(b.0)));
         let mut placed = true;
@@ -41,9 +41,9 @@
                     *f -= whole.0;
                 }
                 let list = targets.entry(engine.clone()).or_default();
-                let own = plan.wanted.size(base).unwrap_or_default();
+                let own = plan.desired.size(base).unwrap_or_default();
                 list.push(((*base).clone(), own));
-                list.extend(plan.wanted.adapters(base).map(|(i, m)| (i.clone(), m)));
+                list.extend(plan.desired.adapters(base).map(|(i, m)| (i.clone(), m)));
             }
         }
         targets
@@ -51,13 +51,13 @@
 }
 
 impl Policy for StaticPlanner {
-    fn plan(&mut self, plan: Plan<'_>, _now: Millis) -> Vec<Step> {
+    fn plan(&mut self, plan: PlanInput<'_>, _now: Millis) -> Vec<Step> {
         let targets = self.targets.get_or_insert_with(|| Self::assign(plan));
         let mut steps = Vec::new();
-        for (engine, book) in plan.books {
+        for (engine, ledger) in plan.ledgers {
             let items = targets.get(engine).map_or(&[][..], Vec::as_slice);
-            let next = items.iter().find(|(i, _)| book.state_of(i).is_none());
-            if let Some((item, size)) = next.filter(|_| !book.is_busy()) {
+            let next = items.iter().find(|(i, _)| ledger.state_of(i).is_none());
+            if let Some((item, size)) = next.filter(|_| !ledger.is_busy()) {
                 steps.push(Step::Load {
                     engine: engine.clone(),
                     item: item.clone(),
@@ -65,7 +65,7 @@
                 });
             }
         }
-        steps.truncate(plan.loads);
+        steps.truncate(plan.load_limit);
         steps
     }
 }
@@ -76,19 +76,19 @@
 pub struct LruPlanner;
 
 impl LruPlanner {
-    fn stalest(book: &EngineBook, plan: Plan<'_>) -> Option<Item> {
-        let bare = |i: &&Item| book.holds(i) && !(i.is_base() && book.carries_adapter(i));
+    fn stalest(ledger: &EngineLedger, plan: PlanInput<'_>) -> Option<Item> {
+        let bare = |i: &&Item| ledger.holds(i) && !(i.is_base() && ledger.carries_adapter(i));
         let age = |i: &&Item| (plan.demand.last_use(&i.model), i.is_base());
-        book.slots.keys().filter(bare).min_by_key(age).cloned()
+        ledger.slots.keys().filter(bare).min_by_key(age).cloned()
     }
 
-    fn needs(plan: Plan<'_>, now: Millis) -> Vec<(Item, Megabytes)> {
+    fn needs(plan: PlanInput<'_>, now: Millis) -> Vec<(Item, Megabytes)> {
         let mut needs = Vec::new();
-        for (base, size) in plan.wanted.bases() {
+        for (base, size) in plan.desired.bases() {
             let recent = now.since(plan.demand.last_use(&base.model)) < 5_000;
             if recent && plan.demand.last_use(&base.model) > Millis(0) {
                 needs.push((base.clone(), size));
-                needs.extend(plan.wanted.adapters(base).map(|(i, m)| (i.clone(), m)));
+                needs.extend(plan.desired.adapters(base).map(|(i, m)| (i.clone(), m)));
             }
         }
         needs
@@ -96,7 +96,7 @@
 }
 
 impl Policy for LruPlanner {
-    fn plan(&mut self, plan: Plan<'_>, now: Millis) -> Vec<Step> {
+    fn plan(&mut self, plan: PlanInput<'_>, now: Millis) -> Vec<Step> {
         let mut steps: Vec<Step> = Vec::new();
         let mut used: BTreeSet<Upstream> = BTreeSet::new();
         let recent: BTreeSet<Model> = Self::needs(plan, now)
@@ -104,19 +104,19 @@
             .map(|(i, _)| i.model)
             .collect();
         for (item, size) in Self::needs(plan, now) {
-            let present = |b: &EngineBook| {
+            let present = |b: &EngineLedger| {
                 matches!(
                     b.state_of(&item),
                     Some(SlotState::Resident | SlotState::Loading)
                 )
             };
-            if plan.books.values().any(present) {
+            if plan.ledgers.values().any(present) {
                 continue;
             }
-            let idle = |(e, b): &(&Upstream, &EngineBook)| {
+            let idle = |(e, b): &(&Upstream, &EngineLedger)| {
                 !b.is_busy() && !used.contains(*e) && (item.is_base() || b.holds(&item.to_base()))
             };
-            let open: Vec<(&Upstream, &EngineBook)> = plan.books.iter().filter(idle).collect();
+            let open: Vec<(&Upstream, &EngineLedger)> = plan.ledgers.iter().filter(idle).collect();
             let step = open
                 .iter()
                 .find(|(_, b)| b.free() >= size)
@@ -132,7 +132,7 @@
             }
         }
         let is_load = |s: &Step| matches!(s, Step::Load { .. });
-        let mut loads = plan.loads;
+        let mut loads = plan.load_limit;
         steps.retain(|s| {
             let keep = !is_load(s) || loads > 0;
             loads = loads.saturating_sub(usize::from(is_load(s)));
@@ -144,8 +144,8 @@
 
 /// Drops the item used least recently over all open engines, if it is not in use now.
 fn evict(
-    plan: Plan<'_>,
-    open: &[(&Upstream, &EngineBook)],
+    plan: PlanInput<'_>,
+    open: &[(&Upstream, &EngineLedger)],
     recent: &BTreeSet<Model>,
 ) -> Option<Step> {
     let victims = open.iter().filter_map(|(e, b)| {
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -36,7 +36,7 @@
 
 impl Demand {
     /// Notes that `work` was asked of a model.
-    pub fn note(&mut self, model: &Model, work: f64, now: Millis) {
+    pub fn record(&mut self, model: &Model, work: f64, now: Millis) {
         if !self.models.contains_key(model) {
             self.models.insert(model.clone(), Average::default());
         }
@@ -49,7 +49,7 @@
     }
 
     /// Sets what other daemons report to be asked of each model, in work a second.
-    pub fn set_elsewhere(&mut self, rates: BTreeMap<Model, f64>) {
+    pub fn set_peer_rates(&mut self, rates: BTreeMap<Model, f64>) {
         self.elsewhere = rates;
     }
 
--- a/crates/place/src/want.rs
+++ b/crates/place/src/desired.rs
@@ -6,7 +6,7 @@
 
 /// One model or adapter that somebody may call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Want {
+pub struct DesiredItem {
     /// The version wanted.
     pub item: Item,
     /// The memory it takes, the replica's KV reserve included.
@@ -15,16 +15,16 @@
 
 /// Everything that must stay reachable, by item.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredItems {
     items: BTreeMap<Item, Megabytes>,
 }
 
-impl Wanted {
+impl DesiredItems {
     /// Collects what is wanted.
     #[must_use]
-    pub fn from_wants(wants: impl IntoIterator<Item = Want>) -> Self {
+    pub fn from_items(items: impl IntoIterator<Item = DesiredItem>) -> Self {
         Self {
-            items: wants.into_iter().map(|w| (w.item, w.size)).collect(),
+            items: items.into_iter().map(|w| (w.item, w.size)).collect(),
         }
     }
 
--- a/crates/place/src/dispatch.rs
+++ b/crates/place/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! From the ledger and the engines' reports to orders, repeats and settlements.
 
-use crate::{CellBody, CellMachine, CellVerdict, EngineBook, Item, Slot, SlotState, Step};
+use crate::{CellBody, CellMachine, CellVerdict, EngineLedger, Item, Slot, SlotState, Step};
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Megabytes, Millis, Offset, Safeguard, Upstream};
 use std::collections::BTreeMap;
@@ -21,7 +21,8 @@
     /// Unload an item, after what runs on it has ended.
     Unload,
     /// Take note of the number only.
-    Touch,
+    #[serde(rename = "touch")]
+    NoOp,
 }
 
 /// An order to an engine.
@@ -66,7 +67,8 @@
     /// What its accelerator holds.
     pub memory: Megabytes,
     /// Whether it refuses old fencing numbers.
-    pub checks: bool,
+    #[serde(rename = "checks")]
+    pub checks_fence: bool,
     /// Whether it is leaving.
     pub leaving: bool,
     /// What it holds ready.
@@ -137,8 +139,8 @@
         let mut bodies = Vec::new();
         for (engine, report) in reports {
             match cell.engines().get(engine) {
-                Some(book) if book.incarnation == report.incarnation => {
-                    bodies.extend(self.follow(fence, engine, book, report, now));
+                Some(ledger) if ledger.incarnation == report.incarnation => {
+                    bodies.extend(self.follow(fence, engine, ledger, report, now));
                 }
                 _ => bodies.push(adoption(fence, engine, report)),
             }
@@ -178,20 +180,20 @@
         &mut self,
         fence: Offset,
         engine: &Upstream,
-        book: &EngineBook,
+        ledger: &EngineLedger,
         report: &EngineReport,
         now: Millis,
     ) -> Vec<CellBody> {
         let mut bodies = Vec::new();
-        if book.leaving != report.leaving {
+        if ledger.leaving != report.leaving {
             bodies.push(CellBody::Leaving {
                 fence,
                 engine: engine.clone(),
                 on: report.leaving,
             });
         }
-        bodies.extend(self.touch(fence, engine, book, report, now));
-        for (item, slot) in &book.slots {
+        bodies.extend(self.touch(fence, engine, ledger, report, now));
+        for (item, slot) in &ledger.slots {
             let subject = Subject {
                 engine: engine.clone(),
                 item: Some(item.clone()),
@@ -201,7 +203,7 @@
                     self.open_order(fence, &subject, slot, report, now)
                 }
                 SlotState::Resident => self.check_missing(fence, &subject, slot, report, now),
-                SlotState::Ghost => None,
+                SlotState::Unconfirmed => None,
             };
             bodies.extend(body);
         }
@@ -214,21 +216,21 @@
         &mut self,
         fence: Offset,
         engine: &Upstream,
-        book: &EngineBook,
+        ledger: &EngineLedger,
         report: &EngineReport,
         now: Millis,
     ) -> Option<CellBody> {
-        if !book.checks || book.touched {
+        if !ledger.checks_fence || ledger.fence_confirmed {
             return None;
         }
-        if report.orders.contains_key(&book.adopted) {
+        if report.orders.contains_key(&ledger.adopted) {
             if !report.loading.is_empty() {
                 return None;
             }
-            return Some(CellBody::Touched {
+            return Some(CellBody::FenceConfirmed {
                 fence,
                 engine: engine.clone(),
-                incarnation: book.incarnation,
+                incarnation: ledger.incarnation,
                 resident: report.resident_sizes(),
             });
         }
@@ -236,13 +238,13 @@
             engine: engine.clone(),
             item: None,
         };
-        let recent = |s: &Sent| s.number == book.adopted && now.since(s.at) < RESEND_AFTER;
+        let recent = |s: &Sent| s.number == ledger.adopted && now.since(s.at) < RESEND_AFTER;
         if !self.sent.get(&subject).is_some_and(recent) {
-            self.note_sent(subject, book.adopted, now);
+            self.note_sent(subject, ledger.adopted, now);
             self.ready.push(Order {
                 engine: engine.clone(),
-                number: book.adopted,
-                kind: OrderKind::Touch,
+                number: ledger.adopted,
+                kind: OrderKind::NoOp,
                 item: None,
                 size: Megabytes(0),
             });
@@ -361,7 +363,7 @@
         engine: engine.clone(),
         incarnation: report.incarnation,
         memory: report.memory,
-        checks: report.checks,
+        checks_fence: report.checks_fence,
         resident: report.resident_sizes(),
         loading: to_sizes(&report.loading),
     }
@@ -371,7 +373,7 @@
     let (engine, item) = match body {
         CellBody::Lease(_) => return None,
         CellBody::Adopt { engine, .. }
-        | CellBody::Touched { engine, .. }
+        | CellBody::FenceConfirmed { engine, .. }
         | CellBody::Leaving { engine, .. }
         | CellBody::Gone { engine, .. } => (engine, None),
         CellBody::Load { engine, item, .. }
@@ -407,7 +409,7 @@
     let kind = match slot.state {
         SlotState::Loading => OrderKind::Load,
         SlotState::Unloading => OrderKind::Unload,
-        SlotState::Resident | SlotState::Ghost => return None,
+        SlotState::Resident | SlotState::Unconfirmed => return None,
     };
     Some(Order {
         engine: engine.clone(),
--- a/crates/place/src/draft.rs
+++ b/crates/place/src/draft.rs
@@ -1,13 +1,13 @@
 //! A plan in the making.
 
 use crate::fluid::{spread, Fluid};
-use crate::{EngineBook, Item, Plan, Planner, SlotState, Step};
+use crate::{EngineLedger, Item, PlanInput, Planner, SlotState, Step};
 use shaleline_types::{DataCentre, Megabytes, Millis, Upstream};
 use std::collections::BTreeSet;
 
 /// The plan in the making. Each engine gets one step at the most.
 pub(crate) struct Draft<'a> {
-    plan: Plan<'a>,
+    plan: PlanInput<'a>,
     now: Millis,
     planner: &'a Planner,
     open: BTreeSet<&'a Upstream>,
@@ -17,19 +17,19 @@
 }
 
 impl<'a> Draft<'a> {
-    pub(crate) fn new(plan: Plan<'a>, now: Millis, planner: &'a Planner) -> Self {
-        let usable = |(e, b): (&'a Upstream, &'a EngineBook)| {
+    pub(crate) fn new(plan: PlanInput<'a>, now: Millis, planner: &'a Planner) -> Self {
+        let usable = |(e, b): (&'a Upstream, &'a EngineLedger)| {
             let alive = plan.views.get(e).is_some_and(|v| v.alive);
-            let seen = b.touched || !b.checks;
+            let seen = b.fence_confirmed || !b.checks_fence;
             (alive && seen && !b.leaving && !b.is_busy()).then_some(e)
         };
         Self {
-            open: plan.books.iter().filter_map(usable).collect(),
+            open: plan.ledgers.iter().filter_map(usable).collect(),
             fluid: spread(plan, planner.settings.target, now),
             plan,
             now,
             planner,
-            loads: plan.loads,
+            loads: plan.load_limit,
             steps: Vec::new(),
         }
     }
@@ -63,20 +63,20 @@
     /// Engines that hold the item ready or are loading it, alive and not leaving.
     fn holders(&self, item: &Item) -> Vec<&'a Upstream> {
         let plan = self.plan;
-        let holds = |(e, b): (&'a Upstream, &'a EngineBook)| {
+        let holds = |(e, b): (&'a Upstream, &'a EngineLedger)| {
             let state = b.state_of(item);
             let here = matches!(state, Some(SlotState::Resident | SlotState::Loading));
             let alive = plan.views.get(e).is_some_and(|v| v.alive);
             (here && alive && !b.leaving).then_some(e)
         };
-        plan.books.iter().filter_map(holds).collect()
+        plan.ledgers.iter().filter_map(holds).collect()
     }
 
     fn ready(&self, item: &Item) -> usize {
         let holders = self.holders(item);
         holders
             .iter()
-            .filter(|e| self.plan.books[**e].holds(item))
+            .filter(|e| self.plan.ledgers[**e].holds(item))
             .count()
     }
 
@@ -84,17 +84,19 @@
     pub(crate) fn retire(&mut self) {
         let engines: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in engines {
-            let book = &self.plan.books[engine];
-            let old = |i: &&Item| self.plan.wanted.size(i).is_none();
+            let ledger = &self.plan.ledgers[engine];
+            let old = |i: &&Item| self.plan.desired.size(i).is_none();
             let droppable = |i: &&Item| {
-                book.holds(i) && !book.slots[*i].doubt && !(i.is_base() && book.carries_adapter(i))
+                ledger.holds(i)
+                    && !ledger.slots[*i].unfenced_copies
+                    && !(i.is_base() && ledger.carries_adapter(i))
             };
             let mut candidates: Vec<&Item> =
-                book.slots.keys().filter(old).filter(droppable).collect();
+                ledger.slots.keys().filter(old).filter(droppable).collect();
             candidates.sort_by_key(|i| i.is_base());
             for item in candidates {
                 let replaced = self.is_replaced(item);
-                let retired = !self.plan.wanted.serves(item);
+                let retired = !self.plan.desired.serves(item);
                 if retired || replaced {
                     self.unload(engine, item, retired);
                     break;
@@ -106,7 +108,7 @@
     /// Whether a ready successor can carry what the old version carried.
     fn is_replaced(&self, old: &Item) -> bool {
         let successor = |(i, _): &(&Item, Megabytes)| i.serves_as(old) && *i != old;
-        let Some((new, _)) = self.plan.wanted.iter().find(successor) else {
+        let Some((new, _)) = self.plan.desired.iter().find(successor) else {
             return false;
         };
         let steps = self.steps.iter();
@@ -118,7 +120,7 @@
     /// Loads what no live engine holds: first of all, and whatever it costs. Among these what
     /// callers wait for comes first, then the largest, which is hardest to find room for.
     pub(crate) fn reach(&mut self) {
-        let wanted = self.plan.wanted;
+        let wanted = self.plan.desired;
         let mut lost: Vec<(&Item, Megabytes)> = wanted
             .bases()
             .filter(|(i, _)| self.holders(i).is_empty())
@@ -141,7 +143,7 @@
     }
 
     fn reach_adapters(&mut self) {
-        let wanted = self.plan.wanted;
+        let wanted = self.plan.desired;
         let adapters = wanted.iter().filter(|(i, _)| !i.is_base());
         let lost: Vec<(&Item, Megabytes)> = adapters
             .filter(|(i, _)| self.holders(i).is_empty())
@@ -149,8 +151,8 @@
         for (item, size) in lost {
             let base = item.to_base();
             let fits = |e: &&&Upstream| {
-                let book = &self.plan.books[**e];
-                book.holds(&base) && book.free() >= size && !book.barred.contains(item)
+                let ledger = &self.plan.ledgers[**e];
+                ledger.holds(&base) && ledger.free() >= size && !ledger.barred.contains(item)
             };
             let found = self.open.iter().find(fits).copied();
             match found {
@@ -164,8 +166,8 @@
         let base = item.to_base();
         let hosts: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in hosts {
-            let book = &self.plan.books[engine];
-            let hosts_base = book.holds(&base) && !book.barred.contains(item);
+            let ledger = &self.plan.ledgers[engine];
+            let hosts_base = ledger.holds(&base) && !ledger.barred.contains(item);
             if !hosts_base || !self.could_free(engine, &base, size) {
                 continue;
             }
@@ -177,10 +179,10 @@
         if self
             .holders(&base)
             .iter()
-            .all(|e| self.plan.books[*e].free() < size)
+            .all(|e| self.plan.ledgers[*e].free() < size)
         {
-            let whole = self.plan.wanted.whole_size(&base);
-            let own = self.plan.wanted.size(&base).unwrap_or_default();
+            let whole = self.plan.desired.whole_size(&base);
+            let own = self.plan.desired.size(&base).unwrap_or_default();
             if let Some(engine) = self.roomiest(&base, whole) {
                 self.load(engine, &base, own);
             }
@@ -190,9 +192,9 @@
     /// The open engine with most free memory that fits `need` and lacks the item.
     fn roomiest(&self, item: &Item, need: Megabytes) -> Option<&'a Upstream> {
         let fits = |e: &&&Upstream| {
-            let book = &self.plan.books[**e];
-            let ghost = matches!(book.state_of(item), None | Some(SlotState::Ghost));
-            ghost && !book.barred.contains(item) && book.free() >= need
+            let ledger = &self.plan.ledgers[**e];
+            let ghost = matches!(ledger.state_of(item), None | Some(SlotState::Unconfirmed));
+            ghost && !ledger.barred.contains(item) && ledger.free() >= need
         };
         let used_here = |e: &Upstream| self.fluid.load(e);
         let open = self.open.iter().filter(fits);
@@ -201,7 +203,11 @@
             let by_load = used_here(a).total_cmp(&used_here(b));
             crowded(a)
                 .cmp(&crowded(b))
-                .then(self.plan.books[*b].free().cmp(&self.plan.books[*a].free()))
+                .then(
+                    self.plan.ledgers[*b]
+                        .free()
+                        .cmp(&self.plan.ledgers[*a].free()),
+                )
                 .then(by_load)
         })
     }
@@ -220,10 +226,10 @@
     fn make_room(&mut self, item: &Item, need: Megabytes) -> bool {
         let engines = self.open.iter().copied();
         let able = engines.filter(|e| {
-            let book = &self.plan.books[*e];
-            !book.barred.contains(item) && self.could_free(e, item, need)
+            let ledger = &self.plan.ledgers[*e];
+            !ledger.barred.contains(item) && self.could_free(e, item, need)
         });
-        let best = able.max_by_key(|e| self.plan.books[*e].free());
+        let best = able.max_by_key(|e| self.plan.ledgers[*e].free());
         let Some(engine) = best else {
             return false;
         };
@@ -236,19 +242,19 @@
 
     /// Whether unloading spare replicas would free enough on the engine.
     fn could_free(&self, engine: &Upstream, keep: &Item, need: Megabytes) -> bool {
-        let book = &self.plan.books[engine];
-        let spare = book
+        let ledger = &self.plan.ledgers[engine];
+        let spare = ledger
             .slots
             .iter()
             .filter(|(i, _)| self.is_spare(engine, i, keep));
         let spare: u64 = spare.map(|(_, s)| s.size.0).sum();
-        book.free().0 + spare >= need.0
+        ledger.free().0 + spare >= need.0
     }
 
     /// Whether the item on this engine has another ready replica, so that it may go.
     fn is_spare(&self, engine: &Upstream, item: &Item, keep: &Item) -> bool {
-        let book = &self.plan.books[engine];
-        let movable = book.holds(item) && !book.slots[item].doubt;
+        let ledger = &self.plan.ledgers[engine];
+        let movable = ledger.holds(item) && !ledger.slots[item].unfenced_copies;
         if !movable || item.to_base() == keep.to_base() {
             return false;
         }
@@ -260,17 +266,17 @@
     /// The spare item to unload first: adapters before the weights they stand on, then
     /// whatever carries the least demand per megabyte.
     fn victim(&self, engine: &Upstream, keep: &Item) -> Option<Item> {
-        let book = &self.plan.books[engine];
+        let ledger = &self.plan.ledgers[engine];
         let spare = |i: &&Item| self.is_spare(engine, i, keep);
-        let free_standing = |i: &&Item| !(i.is_base() && book.carries_adapter(i));
+        let free_standing = |i: &&Item| !(i.is_base() && ledger.carries_adapter(i));
         let whole_spare = |i: &&Item| {
             let base = i.to_base();
-            let own = book.slots.keys().filter(|o| o.to_base() == base);
+            let own = ledger.slots.keys().filter(|o| o.to_base() == base);
             own.into_iter().all(|o| self.is_spare(engine, o, keep))
         };
-        let candidates = book.slots.keys().filter(spare).filter(whole_spare);
+        let candidates = ledger.slots.keys().filter(spare).filter(whole_spare);
         let value =
-            |i: &Item| self.fluid.share(engine, &i.model) / book.slots[i].size.0.max(1) as f64;
+            |i: &Item| self.fluid.share(engine, &i.model) / ledger.slots[i].size.0.max(1) as f64;
         candidates
             .filter(free_standing)
             .min_by(|a, b| value(a).total_cmp(&value(b)))
@@ -281,10 +287,10 @@
     /// first may go in a later step.
     fn relocate_for(&mut self, need: Megabytes) {
         let plan = self.plan;
-        for (engine, book) in plan.books {
-            for (item, slot) in &book.slots {
-                let single = item.is_base() && !book.carries_adapter(item) && book.holds(item);
-                if !single || book.free().0 + slot.size.0 < need.0 {
+        for (engine, ledger) in plan.ledgers {
+            for (item, slot) in &ledger.slots {
+                let single = item.is_base() && !ledger.carries_adapter(item) && ledger.holds(item);
+                if !single || ledger.free().0 + slot.size.0 < need.0 {
                     continue;
                 }
                 let target = self.roomiest(item, slot.size).filter(|e| *e != engine);
@@ -299,7 +305,7 @@
     /// Gives models whose engines are over the target another replica, where the gain
     /// over the horizon is worth the move.
     pub(crate) fn relieve(&mut self) {
-        let wanted = self.plan.wanted;
+        let wanted = self.plan.desired;
         let excess = |i: &Item| self.fluid.excess(&i.model);
         let mut needy: Vec<(&Item, f64)> = wanted
             .bases()
@@ -321,23 +327,23 @@
 
     /// What the replicas that are loading will take on.
     fn coming(&self, item: &Item) -> f64 {
-        let loading = |(e, b): (&Upstream, &EngineBook)| {
+        let loading = |(e, b): (&Upstream, &EngineLedger)| {
             let here = b.state_of(item) == Some(SlotState::Loading);
             here.then(|| self.fluid.spare(e))
         };
-        self.plan.books.iter().filter_map(loading).sum()
+        self.plan.ledgers.iter().filter_map(loading).sum()
     }
 
     /// Takes the step that helps a model most, if one is worth it. Returns the work a
     /// second that it relieves.
     fn relieve_one(&mut self, base: &Item, excess: f64) -> Option<f64> {
-        let size = self.plan.wanted.size(base).unwrap_or_default();
-        let whole = self.plan.wanted.whole_size(base);
+        let size = self.plan.desired.size(base).unwrap_or_default();
+        let whole = self.plan.desired.whole_size(base);
         let engines = self.open.iter().copied();
         let scored = engines.filter_map(|e| Some((self.score(e, base, excess)?, e)));
         let (_, engine) = scored.max_by(|a, b| a.0.total_cmp(&b.0))?;
         let relief = self.fluid.spare(engine);
-        if self.plan.books[engine].free() >= whole {
+        if self.plan.ledgers[engine].free() >= whole {
             self.load(engine, base, size);
         } else {
             let victim = self.victim(engine, base)?;
@@ -353,26 +359,26 @@
     /// The gain over the horizon less the cost of the moves, where that is positive.
     fn score(&self, engine: &Upstream, base: &Item, excess: f64) -> Option<f64> {
         let settings = self.planner.settings;
-        let book = &self.plan.books[engine];
-        let whole = self.plan.wanted.whole_size(base);
-        let absent = book.state_of(base).is_none() && !book.barred.contains(base);
+        let ledger = &self.plan.ledgers[engine];
+        let whole = self.plan.desired.whole_size(base);
+        let absent = ledger.state_of(base).is_none() && !ledger.barred.contains(base);
         if !absent || !self.planner.rested(engine, base, self.now) {
             return None;
         }
-        let fits = book.free() >= whole;
+        let fits = ledger.free() >= whole;
         if !fits && !self.could_free(engine, base, whole) {
             return None;
         }
         let moves = if fits { 1.0 } else { 2.0 };
         let capacity = self.plan.views.get(engine).map_or(0.0, |v| v.capacity);
         let gain = excess.min(self.fluid.spare(engine)) * settings.horizon;
-        let score = gain - settings.weight * moves * capacity;
+        let score = gain - settings.move_weight * moves * capacity;
         (score > 0.0).then_some(score)
     }
 
     /// Gives each model a replica in a second data centre where memory is free anyway.
     pub(crate) fn spread_out(&mut self) {
-        let wanted = self.plan.wanted;
+        let wanted = self.plan.desired;
         for (base, size) in wanted.bases() {
             let holders = self.holders(base);
             let centres: BTreeSet<&DataCentre> = holders
@@ -396,13 +402,16 @@
 
     /// Loads the adapters that belong to the weights an engine holds.
     pub(crate) fn adapt(&mut self) {
-        let wanted = self.plan.wanted;
+        let wanted = self.plan.desired;
         let engines: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in engines {
-            let book = &self.plan.books[engine];
-            let bases = book.slots.keys().filter(|i| i.is_base() && book.holds(i));
+            let ledger = &self.plan.ledgers[engine];
+            let bases = ledger
+                .slots
+                .keys()
+                .filter(|i| i.is_base() && ledger.holds(i));
             let missing = |(i, m): &(&Item, Megabytes)| {
-                book.state_of(i).is_none() && !book.barred.contains(*i) && book.free() >= *m
+                ledger.state_of(i).is_none() && !ledger.barred.contains(*i) && ledger.free() >= *m
             };
             let next = bases.flat_map(|b| wanted.adapters(b)).find(missing);
             if let Some((item, size)) = next {
--- a/crates/place/src/fluid.rs
+++ b/crates/place/src/fluid.rs
@@ -1,6 +1,6 @@
 //! Demand spread over replicas like a fluid: what each engine would carry at best.
 
-use crate::{EngineBook, Plan};
+use crate::{EngineLedger, PlanInput};
 use shaleline_types::{Millis, Model, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,24 +42,24 @@
 
 /// Spreads each model's demand so that its engines end up equally used. Capacities count
 /// only up to the target share.
-pub(crate) fn spread(plan: Plan<'_>, target: f64, now: Millis) -> Fluid {
+pub(crate) fn spread(plan: PlanInput<'_>, target: f64, now: Millis) -> Fluid {
     let mut fluid = Fluid::default();
     let mut holders: BTreeMap<&Model, Vec<&Upstream>> = BTreeMap::new();
-    for (engine, book) in plan.books {
+    for (engine, ledger) in plan.ledgers {
         let Some(view) = plan.views.get(engine).filter(|v| v.alive) else {
             continue;
         };
-        if book.leaving {
+        if ledger.leaving {
             continue;
         }
         fluid
             .capacity
             .insert(engine.clone(), view.capacity * target);
-        for model in models(book) {
+        for model in models(ledger) {
             holders.entry(model).or_default().push(engine);
         }
     }
-    let names: BTreeSet<&Model> = plan.wanted.bases().map(|(i, _)| &i.model).collect();
+    let names: BTreeSet<&Model> = plan.desired.bases().map(|(i, _)| &i.model).collect();
     let rates: BTreeMap<&Model, f64> = names
         .iter()
         .map(|m| (*m, plan.demand.rate(m, now)))
@@ -79,8 +79,11 @@
     fluid
 }
 
-fn models(book: &EngineBook) -> BTreeSet<&Model> {
-    let ready = book.slots.keys().filter(|i| i.is_base() && book.holds(i));
+fn models(ledger: &EngineLedger) -> BTreeSet<&Model> {
+    let ready = ledger
+        .slots
+        .keys()
+        .filter(|i| i.is_base() && ledger.holds(i));
     ready.map(|i| &i.model).collect()
 }
 
--- a/crates/place/src/book.rs
+++ b/crates/place/src/ledger.rs
@@ -16,7 +16,8 @@
     /// Ordered to go; the engine may still hold it.
     Unloading,
     /// Reported gone or failed, but a copy of an old order may still bring it back.
-    Ghost,
+    #[serde(rename = "ghost")]
+    Unconfirmed,
 }
 
 /// An item's place in an engine's memory.
@@ -29,24 +30,25 @@
     /// The offset of the last order's intent, which is the order's fencing number.
     pub order: Offset,
     /// Whether copies of an order may be on their way to an engine that checks no number.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub doubt: bool,
+    #[serde(rename = "doubt", default, skip_serializing_if = "std::ops::Not::not")]
+    pub unfenced_copies: bool,
 }
 
 /// The ledger of one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineBook {
+pub struct EngineLedger {
     /// The life of the engine that the ledger is about.
     pub incarnation: u64,
     /// What its accelerator holds.
     pub memory: Megabytes,
     /// Whether it refuses an order with an old fencing number.
-    pub checks: bool,
+    #[serde(rename = "checks")]
+    pub checks_fence: bool,
     /// The offset of the record that adopted this life; the number of its touch order.
     pub adopted: Offset,
     /// Whether it has seen that number, so that older orders are dead.
-    #[serde(default)]
-    pub touched: bool,
+    #[serde(rename = "touched", default)]
+    pub fence_confirmed: bool,
     /// Whether it is leaving and gets no loads.
     #[serde(default)]
     pub leaving: bool,
@@ -57,7 +59,7 @@
     pub barred: BTreeSet<Item>,
 }
 
-impl EngineBook {
+impl EngineLedger {
     /// Memory promised in the worst case: everything ordered and not known to be gone.
     #[must_use]
     pub fn used(&self) -> Megabytes {
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -11,21 +11,21 @@
 //! The ways that were weighed are in `docs/PLACEMENT.md`.
 
 mod baseline;
-mod book;
 mod demand;
+mod desired;
 mod dispatch;
 mod draft;
 mod fluid;
 mod item;
+mod ledger;
 mod machine;
 mod plan;
-mod want;
 
 pub use baseline::{LruPlanner, StaticPlanner};
-pub use book::{EngineBook, Slot, SlotState};
 pub use demand::Demand;
+pub use desired::{DesiredItem, DesiredItems};
 pub use dispatch::{Dispatcher, EngineReport, Order, OrderEnd, OrderKind, Resident};
 pub use item::Item;
+pub use ledger::{EngineLedger, Slot, SlotState};
 pub use machine::{CellBody, CellMachine, CellVerdict};
-pub use plan::{EngineView, Plan, PlanSettings, Planner, Policy, Step};
-pub use want::{Want, Wanted};
+pub use plan::{EngineView, PlanInput, PlanSettings, Planner, Policy, Step};
--- a/crates/place/src/machine.rs
+++ b/crates/place/src/machine.rs
@@ -1,6 +1,6 @@
 //! The replayed ledger of a cell.
 
-use crate::{EngineBook, Item, Slot, SlotState};
+use crate::{EngineLedger, Item, Slot, SlotState};
 use serde::{Deserialize, Serialize};
 use shaleline_lease::{Lease, LeaseBody, LeaseVerdict};
 use shaleline_log::{Machine, Position};
@@ -24,7 +24,8 @@
         /// What its accelerator holds.
         memory: Megabytes,
         /// Whether it refuses old fencing numbers.
-        checks: bool,
+        #[serde(rename = "checks")]
+        checks_fence: bool,
         /// What it reports to hold, with sizes.
         resident: BTreeMap<Item, Megabytes>,
         /// What it reports to be loading, with sizes.
@@ -76,7 +77,8 @@
     },
     /// An engine that checks numbers has seen the ledger's own, so older orders are dead
     /// and this is what it holds.
-    Touched {
+    #[serde(rename = "touched")]
+    FenceConfirmed {
         /// The owner's fencing number.
         fence: Offset,
         /// The engine.
@@ -136,7 +138,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellMachine {
     lease: Lease,
-    engines: BTreeMap<Upstream, EngineBook>,
+    engines: BTreeMap<Upstream, EngineLedger>,
 }
 
 impl CellMachine {
@@ -148,14 +150,14 @@
 
     /// The ledger of each engine.
     #[must_use]
-    pub fn engines(&self) -> &BTreeMap<Upstream, EngineBook> {
+    pub fn engines(&self) -> &BTreeMap<Upstream, EngineLedger> {
         &self.engines
     }
 
     /// How many engines hold the item ready, or another version of it.
     #[must_use]
     pub fn replicas(&self, item: &Item) -> usize {
-        let serves = |b: &&EngineBook| {
+        let serves = |b: &&EngineLedger| {
             let ready =
                 |(i, s): (&Item, &Slot)| i.serves_as(item) && s.state == SlotState::Resident;
             b.slots.iter().any(ready)
@@ -170,49 +172,55 @@
         slots.filter(|s| s.state == SlotState::Loading).count()
     }
 
-    fn adopt(&mut self, engine: &Upstream, fresh: EngineBook) -> CellVerdict {
+    fn adopt(&mut self, engine: &Upstream, fresh: EngineLedger) -> CellVerdict {
         let mut fresh = fresh;
         if let Some(old) = self.engines.get(engine) {
             if old.incarnation == fresh.incarnation {
                 return CellVerdict::Void;
             }
-            keep_ghosts(old, &mut fresh);
+            keep_unconfirmed(old, &mut fresh);
         }
         self.engines.insert(engine.clone(), fresh);
         CellVerdict::Noted
     }
 
     fn load(&mut self, at: Offset, engine: &Upstream, item: &Item, size: Megabytes) -> CellVerdict {
-        let Some(book) = self.engines.get_mut(engine) else {
+        let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        let unseen = book.checks && !book.touched;
-        if book.leaving || unseen || book.is_busy() || book.barred.contains(item) {
+        let unseen = ledger.checks_fence && !ledger.fence_confirmed;
+        if ledger.leaving || unseen || ledger.is_busy() || ledger.barred.contains(item) {
             return CellVerdict::Void;
         }
         let needs_base = !item.is_base();
-        if needs_base && !book.holds(&item.to_base()) {
+        if needs_base && !ledger.holds(&item.to_base()) {
             return CellVerdict::Void;
         }
-        let ghost = match book.state_of(item) {
+        let ghost = match ledger.state_of(item) {
             None => false,
-            Some(SlotState::Ghost) => true,
+            Some(SlotState::Unconfirmed) => true,
             Some(_) => return CellVerdict::Void,
         };
-        let counted = if ghost { book.slots[item].size.0 } else { 0 };
-        if book.used().0.saturating_sub(counted).saturating_add(size.0) > book.memory.0 {
+        let counted = if ghost { ledger.slots[item].size.0 } else { 0 };
+        if ledger
+            .used()
+            .0
+            .saturating_sub(counted)
+            .saturating_add(size.0)
+            > ledger.memory.0
+        {
             return CellVerdict::NoMemory;
         }
         let slot = Slot {
             size,
             state: SlotState::Loading,
             order: at,
-            doubt: ghost,
+            unfenced_copies: ghost,
         };
-        book.slots.insert(item.clone(), slot);
-        let used: u64 = book.slots.values().map(|s| s.size.0).sum();
+        ledger.slots.insert(item.clone(), slot);
+        let used: u64 = ledger.slots.values().map(|s| s.size.0).sum();
         assert!(
-            used <= book.memory.0 || !Safeguard::WorstCase.active(),
+            used <= ledger.memory.0 || !Safeguard::WorstCase.active(),
             "no memory is promised beyond what the accelerator holds"
         );
         CellVerdict::Granted(at)
@@ -223,14 +231,14 @@
         if last && !retired && Safeguard::LastReplica.active() {
             return CellVerdict::LastReplica;
         }
-        let Some(book) = self.engines.get_mut(engine) else {
+        let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        if book.is_busy() || (item.is_base() && book.carries_adapter(item)) {
+        if ledger.is_busy() || (item.is_base() && ledger.carries_adapter(item)) {
             return CellVerdict::Void;
         }
-        match book.slots.get_mut(item) {
-            Some(slot) if slot.state == SlotState::Resident && !slot.doubt => {
+        match ledger.slots.get_mut(item) {
+            Some(slot) if slot.state == SlotState::Resident && !slot.unfenced_copies => {
                 slot.state = SlotState::Unloading;
                 slot.order = at;
                 CellVerdict::Granted(at)
@@ -240,13 +248,13 @@
     }
 
     fn resend(&mut self, engine: &Upstream, item: &Item) -> CellVerdict {
-        let Some(book) = self.engines.get_mut(engine) else {
+        let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        let checks = book.checks;
-        match book.slots.get_mut(item) {
+        let checks = ledger.checks_fence;
+        match ledger.slots.get_mut(item) {
             Some(slot) if matches!(slot.state, SlotState::Loading | SlotState::Unloading) => {
-                slot.doubt |= !checks;
+                slot.unfenced_copies |= !checks;
                 CellVerdict::Granted(slot.order)
             }
             _ => CellVerdict::Void,
@@ -254,40 +262,42 @@
     }
 
     fn settle(&mut self, engine: &Upstream, item: &Item, order: Offset, done: bool) -> CellVerdict {
-        let Some(book) = self.engines.get_mut(engine) else {
+        let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        let Some(slot) = book.slots.get_mut(item).filter(|s| s.order == order) else {
+        let Some(slot) = ledger.slots.get_mut(item).filter(|s| s.order == order) else {
             return CellVerdict::Void;
         };
         match (slot.state, done) {
             (SlotState::Loading, true) => slot.state = SlotState::Resident,
             (SlotState::Unloading, false) => slot.state = SlotState::Resident,
-            (SlotState::Loading, false) if slot.doubt => slot.state = SlotState::Ghost,
+            (SlotState::Loading, false) if slot.unfenced_copies => {
+                slot.state = SlotState::Unconfirmed;
+            }
             (SlotState::Loading, false) => {
-                book.slots.remove(item);
+                ledger.slots.remove(item);
             }
             (SlotState::Unloading, true) => {
-                if slot.doubt {
-                    book.barred.insert(item.clone());
+                if slot.unfenced_copies {
+                    ledger.barred.insert(item.clone());
                 }
-                book.slots.remove(item);
+                ledger.slots.remove(item);
             }
-            (SlotState::Resident | SlotState::Ghost, _) => return CellVerdict::Void,
+            (SlotState::Resident | SlotState::Unconfirmed, _) => return CellVerdict::Void,
         }
         CellVerdict::Noted
     }
 
     fn missing(&mut self, engine: &Upstream, item: &Item) -> CellVerdict {
-        let Some(book) = self.engines.get_mut(engine) else {
+        let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        match book.slots.get_mut(item) {
-            Some(slot) if slot.state == SlotState::Resident && slot.doubt => {
-                slot.state = SlotState::Ghost;
+        match ledger.slots.get_mut(item) {
+            Some(slot) if slot.state == SlotState::Resident && slot.unfenced_copies => {
+                slot.state = SlotState::Unconfirmed;
             }
             Some(slot) if slot.state == SlotState::Resident => {
-                book.slots.remove(item);
+                ledger.slots.remove(item);
             }
             _ => return CellVerdict::Void,
         }
@@ -302,24 +312,25 @@
         incarnation: u64,
         resident: &BTreeMap<Item, Megabytes>,
     ) -> CellVerdict {
-        let same = |b: &&mut EngineBook| b.checks && b.incarnation == incarnation;
-        let Some(book) = self.engines.get_mut(engine).filter(same) else {
+        let same = |b: &&mut EngineLedger| b.checks_fence && b.incarnation == incarnation;
+        let Some(ledger) = self.engines.get_mut(engine).filter(same) else {
             return CellVerdict::Void;
         };
-        book.slots
-            .retain(|i, s| s.state != SlotState::Ghost || resident.contains_key(i));
-        for (item, slot) in &mut book.slots {
-            slot.doubt = false;
-            if resident.contains_key(item) && slot.state == SlotState::Ghost {
+        ledger
+            .slots
+            .retain(|i, s| s.state != SlotState::Unconfirmed || resident.contains_key(i));
+        for (item, slot) in &mut ledger.slots {
+            slot.unfenced_copies = false;
+            if resident.contains_key(item) && slot.state == SlotState::Unconfirmed {
                 slot.state = SlotState::Resident;
             }
         }
         for (item, size) in resident {
             let slot = || adopted(at, *size, SlotState::Resident);
-            book.slots.entry(item.clone()).or_insert_with(slot);
+            ledger.slots.entry(item.clone()).or_insert_with(slot);
         }
-        book.barred.clear();
-        book.touched = true;
+        ledger.barred.clear();
+        ledger.fence_confirmed = true;
         CellVerdict::Noted
     }
 
@@ -330,27 +341,28 @@
                 engine,
                 incarnation,
                 memory,
-                checks,
+                checks_fence,
                 resident,
                 loading,
                 ..
             } => {
                 let ready =
                     |(i, m): (&Item, &Megabytes)| (i.clone(), adopted(at, *m, SlotState::Resident));
-                let coming =
-                    |(i, m): (&Item, &Megabytes)| (i.clone(), adopted(at, *m, SlotState::Ghost));
+                let coming = |(i, m): (&Item, &Megabytes)| {
+                    (i.clone(), adopted(at, *m, SlotState::Unconfirmed))
+                };
                 let slots = loading.iter().map(coming).chain(resident.iter().map(ready));
-                let book = EngineBook {
+                let ledger = EngineLedger {
                     incarnation: *incarnation,
                     memory: *memory,
-                    checks: *checks,
+                    checks_fence: *checks_fence,
                     leaving: false,
                     adopted: at,
-                    touched: false,
+                    fence_confirmed: false,
                     slots: slots.collect(),
                     barred: BTreeSet::new(),
                 };
-                self.adopt(engine, book)
+                self.adopt(engine, ledger)
             }
             CellBody::Load {
                 engine, item, size, ..
@@ -369,7 +381,7 @@
                 done,
                 ..
             } => self.settle(engine, item, *order, *done),
-            CellBody::Touched {
+            CellBody::FenceConfirmed {
                 engine,
                 incarnation,
                 resident,
@@ -377,8 +389,8 @@
             } => self.touched(at, engine, *incarnation, resident),
             CellBody::Missing { engine, item, .. } => self.missing(engine, item),
             CellBody::Leaving { engine, on, .. } => match self.engines.get_mut(engine) {
-                Some(book) => {
-                    book.leaving = *on;
+                Some(ledger) => {
+                    ledger.leaving = *on;
                     CellVerdict::Noted
                 }
                 None => CellVerdict::Void,
@@ -396,25 +408,26 @@
         size,
         state,
         order: at,
-        doubt: false,
+        unfenced_copies: false,
     }
 }
 
 /// A new life of an engine may still be reached by old orders, so what they could load
 /// stays counted until an engine that checks numbers has seen a newer one.
-fn keep_ghosts(old: &EngineBook, fresh: &mut EngineBook) {
+fn keep_unconfirmed(old: &EngineLedger, fresh: &mut EngineLedger) {
     for (item, slot) in &old.slots {
-        let open = matches!(slot.state, SlotState::Loading | SlotState::Ghost) || slot.doubt;
+        let open = matches!(slot.state, SlotState::Loading | SlotState::Unconfirmed)
+            || slot.unfenced_copies;
         if !open {
             continue;
         }
         let ghost = Slot {
-            state: SlotState::Ghost,
-            doubt: true,
+            state: SlotState::Unconfirmed,
+            unfenced_copies: true,
             ..slot.clone()
         };
         let kept = fresh.slots.entry(item.clone()).or_insert(ghost);
-        kept.doubt = true;
+        kept.unfenced_copies = true;
     }
     fresh.barred.clone_from(&old.barred);
     let unloading = old
@@ -434,7 +447,7 @@
             | Self::Unload { fence, .. }
             | Self::Resend { fence, .. }
             | Self::Settled { fence, .. }
-            | Self::Touched { fence, .. }
+            | Self::FenceConfirmed { fence, .. }
             | Self::Missing { fence, .. }
             | Self::Leaving { fence, .. }
             | Self::Gone { fence, .. } => Some(*fence),
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,7 +1,7 @@
 //! The placement policy: which move is worth its cost.
 
 use crate::draft::Draft;
-use crate::{CellBody, Demand, EngineBook, Item, Wanted};
+use crate::{CellBody, Demand, DesiredItems, EngineLedger, Item};
 use shaleline_types::{DataCentre, Megabytes, Millis, Offset, Upstream};
 use std::collections::BTreeMap;
 
@@ -72,23 +72,23 @@
 
 /// What a policy looks at.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan<'a> {
+pub struct PlanInput<'a> {
     /// The ledger of each engine.
-    pub books: &'a BTreeMap<Upstream, EngineBook>,
+    pub ledgers: &'a BTreeMap<Upstream, EngineLedger>,
     /// What else is known of each engine.
     pub views: &'a BTreeMap<Upstream, EngineView>,
     /// What must stay reachable.
-    pub wanted: &'a Wanted,
+    pub desired: &'a DesiredItems,
     /// What is asked for.
     pub demand: &'a Demand,
     /// How many loads the weight store allows now.
-    pub loads: usize,
+    pub load_limit: usize,
 }
 
 /// A placement policy.
 pub trait Policy: Send {
     /// The steps to take now, at most one for each engine.
-    fn plan(&mut self, plan: Plan<'_>, now: Millis) -> Vec<Step>;
+    fn plan(&mut self, plan: PlanInput<'_>, now: Millis) -> Vec<Step>;
 }
 
 /// What an operator weighs.
@@ -96,22 +96,22 @@
 pub struct PlanSettings {
     /// What a move costs, in seconds of one engine's work per load. Mrazník sets it
     /// high, the Agencia low.
-    pub weight: f64,
+    pub move_weight: f64,
     /// How far ahead a gain counts, in seconds.
     pub horizon: f64,
     /// The share of an engine's capacity that may be used before help is sought.
     pub target: f64,
     /// The least time between two moves of one item on one engine.
-    pub rest: Millis,
+    pub cooldown: Millis,
 }
 
 impl Default for PlanSettings {
     fn default() -> Self {
         Self {
-            weight: 2.0,
+            move_weight: 2.0,
             horizon: 60.0,
             target: 0.7,
-            rest: Millis(60_000),
+            cooldown: Millis(60_000),
         }
     }
 }
@@ -136,12 +136,12 @@
     /// Whether the item was not moved on the engine for a while.
     pub(crate) fn rested(&self, engine: &Upstream, item: &Item, now: Millis) -> bool {
         let last = self.moved.get(&(engine.clone(), item.clone()));
-        last.is_none_or(|at| now.since(*at) >= self.settings.rest.0)
+        last.is_none_or(|at| now.since(*at) >= self.settings.cooldown.0)
     }
 }
 
 impl Policy for Planner {
-    fn plan(&mut self, plan: Plan<'_>, now: Millis) -> Vec<Step> {
+    fn plan(&mut self, plan: PlanInput<'_>, now: Millis) -> Vec<Step> {
         let mut draft = Draft::new(plan, now, self);
         draft.retire();
         draft.reach();
@@ -155,7 +155,7 @@
             }
         };
         self.moved.extend(steps.iter().map(note));
-        let rest = self.settings.rest.0;
+        let rest = self.settings.cooldown.0;
         self.moved.retain(|_, at| now.since(*at) < rest);
         steps
     }
--- a/crates/place/tests/ledger.rs
+++ b/crates/place/tests/ledger.rs
@@ -3,8 +3,9 @@
 use shaleline_lease::LeaseBody;
 use shaleline_log::{Machine, Position};
 use shaleline_place::{
-    CellBody, CellMachine, CellVerdict, Demand, Dispatcher, EngineReport, EngineView, Item,
-    OrderEnd, OrderKind, Plan, Planner, Policy, Resident, SlotState, Step, Want, Wanted,
+    CellBody, CellMachine, CellVerdict, Demand, DesiredItem, DesiredItems, Dispatcher,
+    EngineReport, EngineView, Item, OrderEnd, OrderKind, PlanInput, Planner, Policy, Resident,
+    SlotState, Step,
 };
 use shaleline_types::{DataCentre, Instance, Megabytes, Millis, Model, Offset, Upstream, WriterId};
 use std::collections::BTreeMap;
@@ -31,13 +32,13 @@
         .collect()
 }
 
-fn adopt(number: u64, life: u64, checks: bool, resident: &[(&str, u64)]) -> CellBody {
+fn adopt(number: u64, life: u64, checks_fence: bool, resident: &[(&str, u64)]) -> CellBody {
     CellBody::Adopt {
         fence: Offset(0),
         engine: engine(number),
         incarnation: life,
         memory: Megabytes(100),
-        checks,
+        checks_fence,
         resident: sizes(resident),
         loading: BTreeMap::new(),
     }
@@ -183,7 +184,7 @@
     cell.put(&adopt(1, 1, false, &[]));
     cell.put(&load(1, "a", 70));
     cell.put(&adopt(1, 2, false, &[]));
-    assert_eq!(cell.state(1, "a"), Some(SlotState::Ghost));
+    assert_eq!(cell.state(1, "a"), Some(SlotState::Unconfirmed));
     assert_eq!(cell.put(&load(1, "b", 40)), CellVerdict::NoMemory);
     assert!(
         matches!(cell.put(&load(1, "a", 70)), CellVerdict::Granted(_)),
@@ -198,7 +199,7 @@
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, true, &[]));
     assert_eq!(cell.put(&load(1, "a", 40)), CellVerdict::Void);
-    cell.put(&CellBody::Touched {
+    cell.put(&CellBody::FenceConfirmed {
         fence: Offset(0),
         engine: engine(1),
         incarnation: 1,
@@ -210,7 +211,7 @@
     ));
 }
 
-fn report(checks: bool, resident: &[(&str, u64)], loading: &[(&str, u64)]) -> EngineReport {
+fn report(checks_fence: bool, resident: &[(&str, u64)], loading: &[(&str, u64)]) -> EngineReport {
     let list = |items: &[(&str, u64)]| {
         items
             .iter()
@@ -223,7 +224,7 @@
     EngineReport {
         incarnation: 1,
         memory: Megabytes(100),
-        checks,
+        checks_fence,
         leaving: false,
         resident: list(resident),
         loading: list(loading),
@@ -253,14 +254,14 @@
     follow(&mut cell, &mut d, &busy, 0);
     follow(&mut cell, &mut d, &busy, 1);
     let touch = d.take_orders().remove(0);
-    assert_eq!(touch.kind, OrderKind::Touch);
+    assert_eq!(touch.kind, OrderKind::NoOp);
     let mut seen = busy;
     seen.orders.insert(touch.number, OrderEnd::Done);
     assert!(follow(&mut cell, &mut d, &seen, 2).is_empty());
     seen.resident = std::mem::take(&mut seen.loading);
     assert!(matches!(
         follow(&mut cell, &mut d, &seen, 3)[0],
-        CellBody::Touched { .. }
+        CellBody::FenceConfirmed { .. }
     ));
     assert_eq!(cell.state(1, "a"), Some(SlotState::Resident));
 }
@@ -308,22 +309,22 @@
     (1..=count).map(|i| (engine(i), view(i))).collect()
 }
 
-fn wanted(items: &[(Item, u64)]) -> Wanted {
-    let want = |(item, size): &(Item, u64)| Want {
+fn desired(items: &[(Item, u64)]) -> DesiredItems {
+    let want = |(item, size): &(Item, u64)| DesiredItem {
         item: item.clone(),
         size: Megabytes(*size),
     };
-    Wanted::from_wants(items.iter().map(want))
+    DesiredItems::from_items(items.iter().map(want))
 }
 
-fn plan(cell: &Cell, wanted: &Wanted, demand: &Demand) -> Vec<Step> {
+fn plan(cell: &Cell, desired: &DesiredItems, demand: &Demand) -> Vec<Step> {
     let views = views(cell.machine.engines().len() as u64);
-    let plan = Plan {
-        books: cell.machine.engines(),
+    let plan = PlanInput {
+        ledgers: cell.machine.engines(),
         views: &views,
-        wanted,
+        desired,
         demand,
-        loads: 8,
+        load_limit: 8,
     };
     Planner::default().plan(plan, Millis(1_000))
 }
@@ -332,7 +333,7 @@
 fn what_nobody_holds_is_loaded_first() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
-    let steps = plan(&cell, &wanted(&[(item("a", 1), 40)]), &Demand::default());
+    let steps = plan(&cell, &desired(&[(item("a", 1), 40)]), &Demand::default());
     assert!(matches!(&steps[0], Step::Load { item: i, .. } if *i == item("a", 1)));
 }
 
@@ -343,8 +344,8 @@
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
     let mut demand = Demand::default();
-    demand.note(&item("asked", 1).model, 50.0, Millis(1_000));
-    let want = wanted(&[(item("idle", 1), 60), (item("asked", 1), 50)]);
+    demand.record(&item("asked", 1).model, 50.0, Millis(1_000));
+    let want = desired(&[(item("idle", 1), 60), (item("asked", 1), 50)]);
     let steps = plan(&cell, &want, &demand);
     assert!(matches!(&steps[0], Step::Load { item: i, .. } if *i == item("asked", 1)));
 }
@@ -353,7 +354,7 @@
 fn a_new_version_is_loaded_before_the_old_one_goes() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[("a", 40)]));
-    let want = wanted(&[(item("a", 2), 40)]);
+    let want = desired(&[(item("a", 2), 40)]);
     let steps = plan(&cell, &want, &Demand::default());
     assert!(matches!(&steps[0], Step::Load { item: i, .. } if i.version == 2));
     let order = cell.next;
@@ -380,8 +381,8 @@
     cell.put(&adopt(1, 1, false, &[("a", 40)]));
     cell.put(&adopt(2, 1, false, &[("b", 40)]));
     let mut demand = Demand::default();
-    demand.note(&item("a", 1).model, 3_000.0, Millis(1_000));
-    let want = wanted(&[(item("a", 1), 40), (item("b", 1), 40)]);
+    demand.record(&item("a", 1).model, 3_000.0, Millis(1_000));
+    let want = desired(&[(item("a", 1), 40), (item("b", 1), 40)]);
     let steps = plan(&cell, &want, &demand);
     let on_two = |s: &Step| matches!(s, Step::Load { engine: e, item: i, .. } if *e == engine(2) && *i == item("a", 1));
     assert!(steps.iter().any(on_two), "{steps:?}");
--- a/crates/route/src/granter.rs
+++ b/crates/route/src/allocator.rs
@@ -13,30 +13,30 @@
 
 /// The part of all allowances that a granter keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct AllocatorShare {
     /// Between 0 and 1.
-    pub of_all: f64,
+    pub fraction: f64,
     /// How many daemons there are that hold something in advance.
     pub daemons: usize,
 }
 
-impl Part {
+impl AllocatorShare {
     /// No part of anything.
     pub const NONE: Self = Self {
-        of_all: 0.0,
+        fraction: 0.0,
         daemons: 1,
     };
 }
 
 /// The answer to a daemon that asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Grant {
+pub enum GrantResponse {
     /// What it asked for, and so much in advance.
     Granted(u64),
     /// Not now; when to come back.
     Denied(Millis),
     /// It keeps no part, so it can neither grant nor deny.
-    Nothing,
+    NoShare,
 }
 
 #[derive(Debug)]
@@ -48,8 +48,8 @@
 
 /// What one granter has left for each organisation.
 #[derive(Debug)]
-pub struct Granter {
-    part: Part,
+pub struct Allocator {
+    part: AllocatorShare,
     /// For how many seconds it has kept all there is, a part counted as a part of the time.
     kept: f64,
     /// Up to when that is counted.
@@ -58,12 +58,12 @@
     accounts: HashMap<Org, Account>,
 }
 
-impl Granter {
+impl Allocator {
     /// A granter that keeps nothing yet.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
-            part: Part::NONE,
+            part: AllocatorShare::NONE,
             kept: 0.0,
             counted: Millis(0),
             tolerance,
@@ -78,15 +78,15 @@
 
     /// Sets the part that it keeps from now on; up to now it kept the one before. `allowance_of` is
     /// what an organisation may use, none where there is no limit or no such organisation.
-    pub fn set_part(
+    pub fn set_share(
         &mut self,
-        part: Part,
+        part: AllocatorShare,
         allowance_of: impl Fn(&Org) -> Option<Allowance>,
         now: Millis,
     ) {
         let (before, tolerance) = (self.part, self.tolerance);
         self.count(now);
-        if part.of_all <= 0.0 {
+        if part.fraction <= 0.0 {
             self.kept = 0.0;
         }
         self.accounts.retain(|org, account| {
@@ -103,22 +103,22 @@
 
     /// The part that it keeps.
     #[must_use]
-    pub fn part(&self) -> Part {
+    pub fn share(&self) -> AllocatorShare {
         self.part
     }
 
     /// Answers a daemon that needs `need` for a request and holds `held` in advance.
-    pub fn ask(
+    pub fn request(
         &mut self,
         org: &Org,
         allowance: &Allowance,
         need: u64,
         held: u64,
         now: Millis,
-    ) -> Grant {
+    ) -> GrantResponse {
         let (part, tolerance) = (self.part, self.tolerance);
-        if part.of_all <= 0.0 {
-            return Grant::Nothing;
+        if part.fraction <= 0.0 {
+            return GrantResponse::NoShare;
         }
         let account = self.account(org, allowance, now);
         refill(account, allowance, part, tolerance, now);
@@ -126,7 +126,7 @@
         let most = capacity(allowance, part, tolerance);
         let uses = tolerance.uses(allowance, part.daemons);
         // A request that is larger than all it may hold goes into debt.
-        let least = cost.min(most).max(cost - uses.debt * part.of_all);
+        let least = cost.min(most).max(cost - uses.debt * part.fraction);
         if account.bucket.level() >= least {
             account.bucket.take(cost);
             let credit = uses.credit - held as f64;
@@ -134,12 +134,12 @@
             let spare = account.bucket.level() - most / 2.0;
             let advance = credit.min(spare).max(0.0).floor();
             account.bucket.take(advance);
-            return Grant::Granted(need + advance as u64);
+            return GrantResponse::Granted(need + advance as u64);
         }
         if least > most {
-            return Grant::Denied(MOST_WAIT);
+            return GrantResponse::Denied(MOST_WAIT);
         }
-        Grant::Denied(book(account, allowance, part, least, now))
+        GrantResponse::Denied(book(account, allowance, part, least, now))
     }
 
     /// Takes back what was granted for a request that did not run.
@@ -157,7 +157,7 @@
     /// Counts for how long it has kept what it keeps.
     fn count(&mut self, now: Millis) {
         let seconds = now.since(self.counted) as f64 / 1_000.0;
-        self.kept += seconds * self.part.of_all;
+        self.kept += seconds * self.part.fraction;
         self.counted = now;
     }
 
@@ -175,20 +175,20 @@
 }
 
 /// The most that a part of an allowance holds at once.
-fn capacity(allowance: &Allowance, part: Part, tolerance: Tolerance) -> f64 {
+fn capacity(allowance: &Allowance, part: AllocatorShare, tolerance: Tolerance) -> f64 {
     let uses = tolerance.uses(allowance, part.daemons);
-    (allowance.burst + uses.storage) * part.of_all
+    (allowance.burst + uses.storage) * part.fraction
 }
 
 fn refill(
     account: &mut Account,
     allowance: &Allowance,
-    part: Part,
+    part: AllocatorShare,
     tolerance: Tolerance,
     now: Millis,
 ) {
     let most = capacity(allowance, part, tolerance);
-    let rate = allowance.rate * part.of_all;
+    let rate = allowance.rate * part.fraction;
     account.bucket.refill(rate, most, now);
 }
 
@@ -196,11 +196,11 @@
 fn book(
     account: &mut Account,
     allowance: &Allowance,
-    part: Part,
+    part: AllocatorShare,
     need: f64,
     now: Millis,
 ) -> Millis {
-    let rate = allowance.rate * part.of_all;
+    let rate = allowance.rate * part.fraction;
     let Some(wait) = account.bucket.wait(need, rate) else {
         return MOST_WAIT;
     };
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,12 +1,12 @@
 //! The choice among the upstreams that have room.
 
 use crate::upstream::Back;
-use crate::Ask;
+use crate::RouteRequest;
 use shaleline_types::{DataCentre, Millis, Upstream};
 
 /// How upstreams are chosen. The others are baselines to measure against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Choice {
+pub enum ChoicePolicy {
     /// By expected time: own sends over reported load, prefixes, data centre.
     #[default]
     Expected,
@@ -54,22 +54,22 @@
 
 /// Weighs upstreams for one request; the lowest value is the best.
 pub(crate) struct Chooser<'a> {
-    pub(crate) choice: Choice,
+    pub(crate) choice: ChoicePolicy,
     pub(crate) home: &'a DataCentre,
     pub(crate) turn: u64,
     /// What one uncached token costs, in milliseconds.
     pub(crate) token: f64,
-    /// See [`crate::PeerSight::own_part`].
-    pub(crate) own_part: f64,
+    /// See [`crate::PeerVisibility::own_share`].
+    pub(crate) own_share: f64,
     pub(crate) now: Millis,
 }
 
 impl Chooser<'_> {
-    pub(crate) fn cost(&self, back: &Back, ask: &Ask, index: usize, of: usize) -> f64 {
+    pub(crate) fn cost(&self, back: &Back, ask: &RouteRequest, index: usize, of: usize) -> f64 {
         match self.choice {
-            Choice::Expected => self.expected(back, ask),
-            Choice::Reported => (back.load.running + back.load.waiting) as f64,
-            Choice::RoundRobin => {
+            ChoicePolicy::Expected => self.expected(back, ask),
+            ChoicePolicy::Reported => (back.load.running + back.load.waiting) as f64,
+            ChoicePolicy::RoundRobin => {
                 let of = of.max(1);
                 ((index + of - (self.turn as usize % of)) % of) as f64
             }
@@ -78,35 +78,35 @@
 
     /// Whether the request may be sent there at all: one that would wait too long is
     /// better refused while its caller has time to come back.
-    pub(crate) fn allows(&self, back: &Back, ask: &Ask) -> bool {
-        let most = ask.terms.most;
+    pub(crate) fn allows(&self, back: &Back, ask: &RouteRequest) -> bool {
+        let most = ask.policy.max_expected;
         let in_time = most.is_none_or(|m| self.time(back, ask) <= m.0 as f64);
         in_time && self.keeps_pace(back, ask)
     }
 
     /// Whether the prompt leaves the streams that run there without a long pause.
-    fn keeps_pace(&self, back: &Back, ask: &Ask) -> bool {
-        let Some(pace) = ask.terms.pace else {
+    fn keeps_pace(&self, back: &Back, ask: &RouteRequest) -> bool {
+        let Some(pace) = ask.policy.backlog_limit else {
             return true;
         };
         let ahead = back.backlog(false, self.now);
         let pace = pace.0 as f64;
         let own = back.own_load().backlog;
-        let room = own <= pace * self.own_part;
+        let room = own <= pace * self.own_share;
         ahead <= pace * ALONE_PART || (room && ahead + self.work(back, ask) <= pace)
     }
 
     /// The time to the first byte, as far as prompts decide it.
-    pub(crate) fn time(&self, back: &Back, ask: &Ask) -> f64 {
-        back.backlog(ask.terms.urgent, self.now) + self.work(back, ask)
+    pub(crate) fn time(&self, back: &Back, ask: &RouteRequest) -> f64 {
+        back.backlog(ask.policy.urgent, self.now) + self.work(back, ask)
     }
 
     /// The time that reading the request's own prompt takes there.
-    pub(crate) fn work(&self, back: &Back, ask: &Ask) -> f64 {
+    pub(crate) fn work(&self, back: &Back, ask: &RouteRequest) -> f64 {
         back.cold(ask) * self.token * back.slowness.get(self.now)
     }
 
-    fn expected(&self, back: &Back, ask: &Ask) -> f64 {
+    fn expected(&self, back: &Back, ask: &RouteRequest) -> f64 {
         let fill = back.busy() as f64 / back.slots() as f64;
         let far = if back.site.centre == *self.home {
             0.0
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -19,7 +19,7 @@
 /// a batch, loaded weights and seconds of an engine. With two, 1,625 of 12,000 innocent requests
 /// that were tried five times went without an answer while an upstream of twelve ended every
 /// 300 ms; with three 557 did, and 315 without this rule (`crates/gateway/tests/unit/crashes`).
-pub const MOST_ENDS: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// An end counts for so long; then the request may be tried at one upstream more. Long enough that
 /// a request that comes for good costs an engine every ten minutes and not every few seconds, and
@@ -92,7 +92,7 @@
 impl Crashes {
     /// How many upstreams ended under a request.
     #[must_use]
-    pub fn ends(&self, request: &Fingerprint) -> usize {
+    pub fn crash_count(&self, request: &Fingerprint) -> usize {
         self.known.get(request).map_or(0, Known::ends)
     }
 
@@ -191,7 +191,7 @@
     /// All that concerns every daemon: requests under which more than one upstream ended. What was
     /// there once is mostly a bystander, and only whoever chooses upstreams needs to know it.
     #[must_use]
-    pub fn grave(&self, now: Millis) -> Vec<CrashNote> {
+    pub fn repeated(&self, now: Millis) -> Vec<CrashNote> {
         let grave = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
         grave.filter_map(|(r, _)| self.note(r, now)).collect()
     }
@@ -270,7 +270,7 @@
     pub fn counts(&self) -> (usize, usize) {
         let ends = self.known.values().map(Known::ends);
         let live: Vec<usize> = ends.filter(|e| *e > 0).collect();
-        let blocked = live.iter().filter(|e| **e >= MOST_ENDS).count();
+        let blocked = live.iter().filter(|e| **e >= MAX_CRASHES).count();
         (live.len(), blocked)
     }
 }
--- a/crates/route/src/credit.rs
+++ b/crates/route/src/credit.rs
@@ -1,6 +1,6 @@
 //! A daemon's side of the allowances: what it holds in advance, and whom it asks for more.
 
-use crate::Grant;
+use crate::GrantResponse;
 use shaleline_types::{Millis, Org};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     }
 
     /// Drops what is held for organisations whose allowance is another now.
-    pub fn keep(&mut self, same: impl Fn(&Org) -> bool) {
+    pub fn retain(&mut self, same: impl Fn(&Org) -> bool) {
         self.held.retain(|org, _| same(org));
         self.denied.retain(|(_, org), _| same(org));
     }
@@ -61,9 +61,9 @@
 
 /// What to do next about a request that needs a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DrawStep {
-    /// Ask this granter.
-    Ask(SocketAddr),
+pub enum GrantStep {
+    /// RouteRequest this granter.
+    Query(SocketAddr),
     /// It may run.
     Admit,
     /// The allowance is used up; when to come back.
@@ -74,7 +74,7 @@
 
 /// One request that needs a grant: it asks one granter after the other.
 #[derive(Debug)]
-pub struct Draw {
+pub struct GrantRequest {
     org: Org,
     cost: u64,
     /// Those that were not asked yet, the next one last.
@@ -83,7 +83,7 @@
     soonest: Option<Millis>,
 }
 
-impl Draw {
+impl GrantRequest {
     /// A request that may ask these, the first one first.
     #[must_use]
     pub fn new(org: Org, cost: u64, granters: &[SocketAddr]) -> Self {
@@ -97,22 +97,22 @@
     }
 
     /// Begins, or goes on after a granter that did not answer.
-    pub fn next(&mut self, credits: &mut Credits, now: Millis) -> DrawStep {
+    pub fn next_step(&mut self, credits: &mut Credits, now: Millis) -> GrantStep {
         if self.asked.is_none() && credits.take(&self.org, self.cost) {
-            return DrawStep::Admit;
+            return GrantStep::Admit;
         }
         while let Some(granter) = self.left.pop() {
             match credits.denied(granter, &self.org, self.cost, now) {
                 Some(wait) => self.note_denied(wait),
                 None => {
                     self.asked = Some(granter);
-                    return DrawStep::Ask(granter);
+                    return GrantStep::Query(granter);
                 }
             }
         }
         match self.soonest {
-            Some(wait) => DrawStep::Refuse(wait),
-            None => DrawStep::Unanswered,
+            Some(wait) => GrantStep::Refuse(wait),
+            None => GrantStep::Unanswered,
         }
     }
 
@@ -121,23 +121,28 @@
     }
 
     /// Takes in the answer of the granter that was asked last.
-    pub fn on_grant(&mut self, grant: Grant, credits: &mut Credits, now: Millis) -> DrawStep {
+    pub fn on_grant(
+        &mut self,
+        grant: GrantResponse,
+        credits: &mut Credits,
+        now: Millis,
+    ) -> GrantStep {
         match grant {
-            Grant::Granted(amount) => {
+            GrantResponse::Granted(amount) => {
                 *credits.held.entry(self.org.clone()).or_default() +=
                     amount.saturating_sub(self.cost);
-                DrawStep::Admit
+                GrantStep::Admit
             }
-            Grant::Denied(wait) => {
+            GrantResponse::Denied(wait) => {
                 self.note_denied(wait);
                 if let Some(granter) = self.asked {
                     let until = now.plus(wait.0);
                     let cost = self.cost;
                     credits.on_denied(granter, &self.org, Denial { cost, until });
                 }
-                self.next(credits, now)
+                self.next_step(credits, now)
             }
-            Grant::Nothing => self.next(credits, now),
+            GrantResponse::NoShare => self.next_step(credits, now),
         }
     }
 }
--- a/crates/route/src/ending.rs
+++ b/crates/route/src/ending.rs
@@ -1,7 +1,7 @@
 //! How sends end: answers, failures, callers and upstreams that go, and what is sent again.
 
 use crate::estimate::ratio_of;
-use crate::{Ask, AttemptNumber, End, RouteAction, Router};
+use crate::{AttemptEnd, AttemptNumber, RouteAction, RouteRequest, Router};
 use shaleline_types::{ErrorKind, Millis, RequestId, Safeguard, Upstream};
 
 /// How often a request is sent at the most, sends that reached nobody included.
@@ -43,7 +43,7 @@
             let ratio = ratio_of(now.since(flight.sent) as f64, flight.expected);
             back.slowness.learn(ratio, now);
             let route = &open.ask.route;
-            self.tokens.learn(route, ratio, self.settings.token);
+            self.tokens.learn(route, ratio, self.settings.token_ms);
         }
     }
 
@@ -51,7 +51,7 @@
         &mut self,
         id: RequestId,
         attempt: AttemptNumber,
-        end: End,
+        end: AttemptEnd,
         now: Millis,
         out: &mut Vec<RouteAction>,
     ) {
@@ -63,20 +63,20 @@
         };
         self.judge_upstream(&upstream, id, end, now);
         match end {
-            End::Whole => {
+            AttemptEnd::Whole => {
                 self.note_good_end(id, now);
                 self.close(id);
             }
-            End::Cancelled => self.close(id),
-            End::NotSent => {
+            AttemptEnd::Cancelled => self.close(id),
+            AttemptEnd::NotSent => {
                 if let Some(open) = self.open.get_mut(&id) {
                     open.reached -= 1;
                 }
                 self.again(id, ErrorKind::NoUpstream, now, out);
             }
-            End::Refused => self.again(id, ErrorKind::NoUpstream, now, out),
-            End::Broken => self.again_if_repeatable(id, now, out),
-            End::UpstreamEnded(start) => {
+            AttemptEnd::Refused => self.again(id, ErrorKind::NoUpstream, now, out),
+            AttemptEnd::Broken => self.again_if_repeatable(id, now, out),
+            AttemptEnd::UpstreamEnded(start) => {
                 let identity = self.open.get(&id).and_then(|o| o.ask.identity);
                 self.note_end(identity, start, now, out);
                 self.again_if_repeatable(id, now, out);
@@ -89,28 +89,28 @@
         &mut self,
         upstream: &Upstream,
         id: RequestId,
-        end: End,
+        end: AttemptEnd,
         now: Millis,
     ) {
         let Some(back) = self.backs.get_mut(upstream) else {
             return;
         };
         back.on_end(id);
-        if let (End::Refused, Some(open)) = (end, self.open.get(&id)) {
+        if let (AttemptEnd::Refused, Some(open)) = (end, self.open.get(&id)) {
             back.note_refused(&open.ask.route, now);
         }
         match end {
-            End::Whole => {
+            AttemptEnd::Whole => {
                 back.last_byte = now;
                 back.failures.note(0.0, now);
                 back.breaker.on_success();
                 self.budget.on_success();
             }
-            End::NotSent | End::Broken | End::UpstreamEnded(_) => {
+            AttemptEnd::NotSent | AttemptEnd::Broken | AttemptEnd::UpstreamEnded(_) => {
                 back.failures.note(1.0, now);
                 self.stats.opened += u64::from(back.breaker.on_failure(now));
             }
-            End::Refused | End::Cancelled => back.breaker.on_neutral(),
+            AttemptEnd::Refused | AttemptEnd::Cancelled => back.breaker.on_neutral(),
         }
     }
 
@@ -158,8 +158,12 @@
         };
         let started = open.first;
         let in_time = started || open.ask.due > now;
-        let most = open.ask.terms.attempts.unwrap_or(self.settings.attempts);
-        let left = open.reached < most && open.attempt < MOST_SENDS.max(self.settings.attempts);
+        let most = open
+            .ask
+            .policy
+            .max_attempts
+            .unwrap_or(self.settings.max_attempts);
+        let left = open.reached < most && open.attempt < MOST_SENDS.max(self.settings.max_attempts);
         if left && in_time && self.budget.take() {
             self.place(id, now, out);
         } else {
@@ -189,7 +193,7 @@
         self.pump(&upstream, now, out);
     }
 
-    pub(crate) fn unqueue(&mut self, ask: &Ask) {
+    pub(crate) fn unqueue(&mut self, ask: &RouteRequest) {
         if let Some(queue) = self.queues.get_mut(&ask.route) {
             queue.remove(ask.priority, &ask.org, ask.id);
         }
--- a/crates/route/src/apart.rs
+++ b/crates/route/src/isolation.rs
@@ -5,20 +5,20 @@
 //! it costs:
 //!
 //! * The upstreams that ended under a request and those at which it is now are at most
-//!   [`MOST_ENDS`] together. Further copies join one where it is already, or are refused: with that
+//!   [`MAX_CRASHES`] together. Further copies join one where it is already, or are refused: with that
 //!   a request ends three upstreams however many copies come before the first one ends.
 //! * A request under which two ended goes only where no other such request is. What ends then
 //!   ended under one of them alone, and a bystander of both is not taken for the third.
 //! * A request under which three ended is not sent any more.
 
-use crate::crashes::{CrashNote, Crashes, MOST_ENDS};
+use crate::crashes::{CrashNote, Crashes, MAX_CRASHES};
 use crate::upstream::Back;
-use crate::{Ask, RouteAction, Router};
+use crate::{RouteAction, RouteRequest, Router};
 use shaleline_types::{ErrorKind, Fingerprint, Identity, Millis, RequestId, StartTag, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request under which so many upstreams ended runs apart from others of its kind.
-const APART_ENDS: usize = MOST_ENDS - 1;
+const APART_ENDS: usize = MAX_CRASHES - 1;
 
 /// A request of which a copy has ended well so short a time ago is sound: many callers may ask for
 /// the same thing at once, such as the state of a service, and need all its upstreams.
@@ -36,7 +36,7 @@
 }
 
 impl Copies {
-    pub(crate) fn insert(&mut self, ask: &Ask) {
+    pub(crate) fn insert(&mut self, ask: &RouteRequest) {
         if let Some(identity) = ask.identity {
             let ids = self.open.entry(identity.request).or_default();
             ids.insert(ask.id);
@@ -63,7 +63,7 @@
         self.sound.retain(|_, at| now.since(*at) < SOUND_MS);
     }
 
-    pub(crate) fn remove(&mut self, ask: &Ask) {
+    pub(crate) fn remove(&mut self, ask: &RouteRequest) {
         let Some(identity) = ask.identity else {
             return;
         };
@@ -89,8 +89,9 @@
 
     /// How many upstreams ended under a request.
     #[must_use]
-    pub fn ends_of(&self, ask: &Ask) -> usize {
-        ask.identity.map_or(0, |i| self.crashes.ends(&i.request))
+    pub fn crash_count(&self, ask: &RouteRequest) -> usize {
+        ask.identity
+            .map_or(0, |i| self.crashes.crash_count(&i.request))
     }
 
     /// What this router found out about such requests since this was asked last.
@@ -152,14 +153,14 @@
     }
 
     /// Whether a request may not be sent any more.
-    pub(crate) fn is_blocked(&self, ask: &Ask) -> bool {
-        self.ends_of(ask) >= MOST_ENDS
+    pub(crate) fn is_blocked(&self, ask: &RouteRequest) -> bool {
+        self.crash_count(ask) >= MAX_CRASHES
     }
 
     /// Gives up what is open of a request that may not be sent any more: it may still wait its turn
     /// at an upstream, which need not end as well.
     fn stop_blocked(&mut self, request: &Fingerprint, out: &mut Vec<RouteAction>) {
-        if self.crashes.ends(request) < MOST_ENDS {
+        if self.crashes.crash_count(request) < MAX_CRASHES {
             return;
         }
         let ids: Vec<RequestId> = self.copies.of(request).copied().collect();
@@ -193,12 +194,12 @@
     }
 
     /// Whether a request may go to an upstream, by what ended under it.
-    pub(crate) fn may_go(&self, ask: &Ask, name: &Upstream, back: &Back) -> bool {
+    pub(crate) fn may_go(&self, ask: &RouteRequest, name: &Upstream, back: &Back) -> bool {
         let Some(identity) = ask.identity else {
             return true;
         };
-        let ends = self.crashes.ends(&identity.request);
-        if ends >= MOST_ENDS {
+        let ends = self.crashes.crash_count(&identity.request);
+        if ends >= MAX_CRASHES {
             return false;
         }
         let free =
@@ -210,20 +211,20 @@
         if places.contains(name) {
             return true;
         }
-        ends + places.len() < MOST_ENDS && (ends < APART_ENDS || self.is_free_of_suspects(back))
+        ends + places.len() < MAX_CRASHES && (ends < APART_ENDS || self.is_free_of_suspects(back))
     }
 
     /// Whether no request is at an upstream that must run apart.
     fn is_free_of_suspects(&self, back: &Back) -> bool {
         let open = back.flights.keys().filter_map(|id| self.open.get(id));
-        let mut suspects = open.filter(|o| self.ends_of(&o.ask) >= APART_ENDS);
+        let mut suspects = open.filter(|o| self.crash_count(&o.ask) >= APART_ENDS);
         suspects.next().is_none()
     }
 
     /// Whether a request does not wait: it would keep those behind it from being sent, and nobody
     /// knows when it may go.
-    pub(crate) fn never_waits(&self, ask: &Ask) -> bool {
-        self.ends_of(ask) >= APART_ENDS
+    pub(crate) fn never_waits(&self, ask: &RouteRequest) -> bool {
+        self.crash_count(ask) >= APART_ENDS
     }
 
     /// Refuses what waits first in line and may not go where there is room: others stand behind it.
@@ -246,12 +247,12 @@
         }
     }
 
-    fn is_barred(&self, ask: &Ask, now: Millis) -> bool {
+    fn is_barred(&self, ask: &RouteRequest, now: Millis) -> bool {
         let Some(identity) = ask.identity else {
             return false;
         };
-        let ends = self.crashes.ends(&identity.request);
-        if ends == 0 && self.copies.of(&identity.request).nth(MOST_ENDS).is_none() {
+        let ends = self.crashes.crash_count(&identity.request);
+        if ends == 0 && self.copies.of(&identity.request).nth(MAX_CRASHES).is_none() {
             return false;
         }
         let roomy = |b: &Back| b.routes.contains(&ask.route) && b.has_room_for(&ask.org, now);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -4,10 +4,10 @@
 //! [`RouteAction`]s. It holds no clock and no socket; the daemon and the experiments
 //! drive the same code.
 //!
-//! * An [`Ask`] is admitted against its organisation's [`Limits`], of which each daemon
+//! * An [`RouteRequest`] is admitted against its organisation's [`Limits`], of which each daemon
 //!   has a share ([`ShareBook`]).
 //! * Where daemons together may admit no more than an [`Allowance`], those that keep parts of it
-//!   ([`Granter`]) grant it in small amounts to those that serve ([`Credits`]).
+//!   ([`Allocator`]) grant it in small amounts to those that serve ([`Credits`]).
 //! * What can't start at once waits in a queue per route; urgent work first, then
 //!   weighted fair by organisation. What can't meet its target is refused at once.
 //! * An upstream is chosen by what it reports, what this daemon has sent it since, and
@@ -18,9 +18,8 @@
 //!
 //! The ways that were weighed are in `docs/ROUTING.md`.
 
+mod allocator;
 mod allowance;
-mod apart;
-mod ask;
 mod breaker;
 mod bucket;
 mod choose;
@@ -29,10 +28,11 @@
 mod drain;
 mod ending;
 mod estimate;
-mod granter;
+mod isolation;
 mod limit;
 mod prefix;
 mod queue;
+mod request;
 mod retry;
 mod router;
 mod settings;
@@ -42,19 +42,20 @@
 mod view;
 mod waiting;
 
+pub use allocator::{Allocator, AllocatorShare, GrantResponse};
 pub use allowance::{Allowance, Tolerance};
-pub use ask::{
-    Ask, AttemptNumber, End, Load, PeerLoad, Route, RouteAction, RouteEvent, Site, Terms,
-};
-pub use choose::Choice;
-pub use crashes::{CrashNote, CrashRecord, Crashes, MOST_ENDS};
-pub use credit::{Credits, Draw, DrawStep};
+pub use choose::ChoicePolicy;
+pub use crashes::{CrashNote, CrashRecord, Crashes, MAX_CRASHES};
+pub use credit::{Credits, GrantRequest, GrantStep};
 pub use drain::{Drain, DrainAction, Unfinished};
-pub use granter::{Grant, Granter, Part};
 pub use limit::{LimitKind, Limits};
 pub use prefix::{prefix_chain, BLOCK_CHARS, BLOCK_TOKENS};
+pub use request::{
+    AttemptEnd, AttemptNumber, Load, PeerLoad, RequestPolicy, Route, RouteAction, RouteEvent,
+    RouteRequest, UpstreamInfo,
+};
 pub use retry::RetrySettings;
 pub use router::Router;
-pub use settings::{PeerSight, RouterSettings};
+pub use settings::{PeerVisibility, RouterSettings};
 pub use share::{share_of, ShareBook};
 pub use stats::{RouterStats, UpstreamStats};
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -90,7 +90,7 @@
         shares: &ShareBook,
         now: Millis,
     ) -> Result<(), (LimitKind, Millis)> {
-        let part = |kind| shares.part(org, kind, limits.get(kind), now);
+        let part = |kind| shares.share(org, kind, limits.get(kind), now);
         let (rate, tokens, most) = (
             part(LimitKind::Rate),
             part(LimitKind::Tokens),
--- a/crates/route/src/ask.rs
+++ b/crates/route/src/request.rs
@@ -56,32 +56,32 @@
 /// What the caller's route lets the router do with a request, where that differs from
 /// the router's own settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestPolicy {
     /// How long it may wait unsent; as long as `due` allows where absent. A request that
     /// can't start soon is better refused while its caller has time to come back.
-    pub wait: Option<Millis>,
+    pub max_wait: Option<Millis>,
     /// How many upstreams it may reach at the most.
-    pub attempts: Option<AttemptNumber>,
+    pub max_attempts: Option<AttemptNumber>,
     /// How long a send may go without a first byte before it counts as hanging.
-    pub stall: Option<Millis>,
+    pub stall_timeout: Option<Millis>,
     /// The longest expected time to a first byte with which it is sent at all.
-    pub most: Option<Millis>,
+    pub max_expected: Option<Millis>,
     /// Whether upstreams serve it before work that is not urgent.
     pub urgent: bool,
     /// The most work that prompts, its own included, may have ahead at an upstream to which
     /// it is sent. A prompt that is larger by itself is sent where hardly any waits.
-    pub pace: Option<Millis>,
+    pub backlog_limit: Option<Millis>,
 }
 
-impl Default for Terms {
+impl Default for RequestPolicy {
     fn default() -> Self {
         Self {
-            wait: None,
-            attempts: None,
-            stall: None,
-            most: None,
+            max_wait: None,
+            max_attempts: None,
+            stall_timeout: None,
+            max_expected: None,
             urgent: true,
-            pace: None,
+            backlog_limit: None,
         }
     }
 }
@@ -99,7 +99,7 @@
 
 /// A request that asks for an upstream.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RouteRequest {
     /// The request.
     pub id: RequestId,
     /// Whose it is.
@@ -115,7 +115,7 @@
     /// Hashes of the prompt's growing prefixes, see [`crate::prefix_chain`].
     pub prefix: Vec<u64>,
     /// The tokens of each block of `prefix`; the usual size where absent.
-    pub sizes: Vec<u32>,
+    pub block_sizes: Vec<u32>,
     /// When its first token or answer is due.
     pub due: Millis,
     /// Whether it may be sent again after it may have run.
@@ -123,27 +123,27 @@
     /// The limits of its organisation.
     pub limits: Limits,
     /// What its route allows.
-    pub terms: Terms,
+    pub policy: RequestPolicy,
     /// What it has in common with its caller's other attempts; none where that is not known.
     pub identity: Option<Identity>,
 }
 
-impl Ask {
+impl RouteRequest {
     /// The tokens of the block at `index`.
     pub(crate) fn size(&self, index: usize) -> f64 {
-        f64::from(self.sizes.get(index).copied().unwrap_or(BLOCK_TOKENS))
+        f64::from(self.block_sizes.get(index).copied().unwrap_or(BLOCK_TOKENS))
     }
 
     /// When it is refused if it was not sent by then.
     pub(crate) fn start_by(&self, now: Millis) -> Millis {
-        let wait = self.terms.wait.map(|w| now.plus(w.0));
+        let wait = self.policy.max_wait.map(|w| now.plus(w.0));
         wait.map_or(self.due, |at| at.min(self.due))
     }
 }
 
 /// How a send ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The whole answer came.
     Whole,
     /// The connection failed before a byte of the request was written.
@@ -173,7 +173,7 @@
 
 /// Where an upstream stands and what it serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Site {
+pub struct UpstreamInfo {
     /// Its data centre.
     pub centre: DataCentre,
     /// What it serves now.
@@ -184,7 +184,7 @@
 #[derive(Debug, Clone)]
 pub enum RouteEvent {
     /// A request arrived.
-    Arrive(Box<Ask>),
+    Arrive(Box<RouteRequest>),
     /// The first byte of an answer came.
     FirstByte {
         /// The request.
@@ -206,7 +206,7 @@
         /// The attempt that ended.
         attempt: AttemptNumber,
         /// How.
-        end: End,
+        end: AttemptEnd,
     },
     /// The caller went away.
     CallerGone(RequestId),
@@ -218,7 +218,7 @@
         load: Load,
     },
     /// The other daemons told what they have at an upstream.
-    Peers {
+    PeerReport {
         /// The upstream.
         upstream: Upstream,
         /// What they have there.
@@ -229,7 +229,7 @@
         /// The upstream.
         upstream: Upstream,
         /// Where and what.
-        site: Site,
+        info: UpstreamInfo,
     },
     /// An upstream is to get no new work, or may again.
     Leaving {
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -4,19 +4,19 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
     /// The retries that each success earns.
-    pub earned: f64,
+    pub per_success: f64,
     /// The most that may be saved up.
-    pub most: f64,
+    pub max_saved: f64,
     /// What there is to begin with.
-    pub start: f64,
+    pub initial: f64,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
-            earned: 0.1,
-            most: 50.0,
-            start: 10.0,
+            per_success: 0.1,
+            max_saved: 50.0,
+            initial: 10.0,
         }
     }
 }
@@ -32,18 +32,18 @@
     pub(crate) fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
-            level: settings.start,
+            level: settings.initial,
         }
     }
 
     /// Takes other settings; what was saved beyond them is lost.
     pub(crate) fn set(&mut self, settings: RetrySettings) {
         self.settings = settings;
-        self.level = self.level.min(settings.most);
+        self.level = self.level.min(settings.max_saved);
     }
 
     pub(crate) fn on_success(&mut self) {
-        self.level = (self.level + self.settings.earned).min(self.settings.most);
+        self.level = (self.level + self.settings.per_success).min(self.settings.max_saved);
     }
 
     pub(crate) fn take(&mut self) -> bool {
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,16 +1,16 @@
 //! The decision itself: what is admitted and where it goes. How sends end is in `ending`,
 //! what happens to requests that wait or hang in `waiting`.
 
-use crate::apart::Copies;
 use crate::choose::{draw_by_cost, Chooser};
 use crate::estimate::TokenCosts;
+use crate::isolation::Copies;
 use crate::limit::Limiter;
 use crate::queue::{RouteQueue, Waiting};
 use crate::retry::RetryBudget;
 use crate::upstream::{Back, Flight};
 use crate::{
-    Ask, AttemptNumber, CrashNote, Crashes, LimitKind, Limits, PeerSight, RetrySettings, Route,
-    RouteAction, RouteEvent, RouterSettings, RouterStats, ShareBook, Site,
+    AttemptNumber, CrashNote, Crashes, LimitKind, Limits, PeerVisibility, RetrySettings, Route,
+    RouteAction, RouteEvent, RouteRequest, RouterSettings, RouterStats, ShareBook, UpstreamInfo,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -20,7 +20,7 @@
 
 #[derive(Debug)]
 pub(crate) struct Open {
-    pub(crate) ask: Ask,
+    pub(crate) ask: RouteRequest,
     pub(crate) attempt: AttemptNumber,
     /// How many sends may have reached an upstream.
     pub(crate) reached: AttemptNumber,
@@ -45,7 +45,7 @@
     pub(crate) budget: RetryBudget,
     pub(crate) tokens: TokenCosts,
     turn: u64,
-    sight: PeerSight,
+    sight: PeerVisibility,
     draws: RefCell<SmallRng>,
     pub(crate) stats: RouterStats,
     pub(crate) crashes: Crashes,
@@ -71,7 +71,7 @@
             budget: RetryBudget::new(settings.retries),
             tokens: TokenCosts::default(),
             turn: 0,
-            sight: PeerSight::default(),
+            sight: PeerVisibility::default(),
             draws: RefCell::new(SmallRng::seed_from_u64(settings.seed)),
             stats: RouterStats::default(),
             crashes: Crashes::default(),
@@ -98,7 +98,7 @@
 
     /// The limits of which this daemon's part was too small since the last call: another
     /// daemon may lend some.
-    pub fn take_short(&mut self) -> Vec<(Org, LimitKind)> {
+    pub fn take_exceeded(&mut self) -> Vec<(Org, LimitKind)> {
         std::mem::take(&mut self.short).into_iter().collect()
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Sets how well it is known what other daemons send.
-    pub fn set_sight(&mut self, sight: PeerSight) {
+    pub fn set_peer_visibility(&mut self, sight: PeerVisibility) {
         self.sight = sight;
     }
 
@@ -134,13 +134,13 @@
                 }
                 self.pump(&upstream, now, &mut out);
             }
-            RouteEvent::Peers { upstream, load } => {
+            RouteEvent::PeerReport { upstream, load } => {
                 if let Some(back) = self.backs.get_mut(&upstream) {
                     back.on_peers(load, now);
                 }
             }
-            RouteEvent::Serves { upstream, site } => {
-                self.serves(&upstream, site);
+            RouteEvent::Serves { upstream, info } => {
+                self.serves(&upstream, info);
                 self.pump(&upstream, now, &mut out);
             }
             RouteEvent::Leaving { upstream, on } => {
@@ -163,7 +163,7 @@
         out
     }
 
-    pub(crate) fn serves(&mut self, upstream: &Upstream, site: Site) {
+    pub(crate) fn serves(&mut self, upstream: &Upstream, site: UpstreamInfo) {
         match self.backs.get_mut(upstream) {
             Some(back) => back.set_site(site),
             None => {
@@ -187,7 +187,7 @@
         }
     }
 
-    pub(crate) fn arrive(&mut self, ask: Ask, now: Millis, out: &mut Vec<RouteAction>) {
+    pub(crate) fn arrive(&mut self, ask: RouteRequest, now: Millis, out: &mut Vec<RouteAction>) {
         self.stats.arrived += 1;
         let id = ask.id;
         if self.is_blocked(&ask) {
@@ -206,7 +206,7 @@
             let ahead = q.ahead(priority, &org);
             (q.len(), q.expected_wait(ahead, now).filter(|_| ahead > 0))
         });
-        let full = waiting >= self.settings.queue;
+        let full = waiting >= self.settings.queue_limit;
         let late = expected.map(|w| now.plus(w.0)).filter(|at| *at > ask.due);
         if let Some(at) = late.filter(|_| self.settings.shed || full) {
             self.limiter.finish(&org, 0);
@@ -276,13 +276,13 @@
         }
     }
 
-    pub(crate) fn chooser(&self, ask: &Ask, now: Millis) -> Chooser<'_> {
+    pub(crate) fn chooser(&self, ask: &RouteRequest, now: Millis) -> Chooser<'_> {
         Chooser {
             choice: self.settings.choice,
             home: &self.settings.home,
             turn: self.turn,
-            token: self.tokens.get(&ask.route, self.settings.token),
-            own_part: self.sight.own_part,
+            token: self.tokens.get(&ask.route, self.settings.token_ms),
+            own_share: self.sight.own_share,
             now,
         }
     }
@@ -308,7 +308,7 @@
         let costs = costs.filter(|(name, _)| !untried || fresh(name));
         let costs: Vec<(&Upstream, f64)> = costs.collect();
         let draw = self.draws.borrow_mut().random();
-        let best = draw_by_cost(&costs, self.sight.unseen, draw)?;
+        let best = draw_by_cost(&costs, self.sight.unseen_ms, draw)?;
         Some(best.clone())
     }
 
@@ -343,13 +343,12 @@
         let flight = Flight {
             org: open.ask.org.clone(),
             sent: now,
-            stall: open
-                .ask
-                .terms
-                .stall
-                .map_or_else(|| stall_of(self.settings.stall, open.ask.due, now), |s| s.0),
+            stall: open.ask.policy.stall_timeout.map_or_else(
+                || stall_of(self.settings.stall_timeout, open.ask.due, now),
+                |s| s.0,
+            ),
             answered: false,
-            urgent: open.ask.terms.urgent,
+            urgent: open.ask.policy.urgent,
             work,
             expected,
         };
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -118,7 +118,7 @@
 
     /// The part of a limit that this daemon may use now.
     #[must_use]
-    pub fn part(&self, org: &Org, kind: LimitKind, limit: u64, now: Millis) -> u64 {
+    pub fn share(&self, org: &Org, kind: LimitKind, limit: u64, now: Millis) -> u64 {
         let own = self.base(org, limit, now);
         let Some(account) = self.accounts.get(&(org.clone(), kind)) else {
             return own;
@@ -138,7 +138,7 @@
         now: Millis,
     ) -> u64 {
         let idle = self
-            .part(org, kind, limits.get(kind), now)
+            .share(org, kind, limits.get(kind), now)
             .saturating_sub(in_use);
         let base = self.base(org, limits.get(kind), now);
         let most = if base == 1 { 1 } else { base / 2 };
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -3,7 +3,7 @@
 use crate::breaker::{Breaker, Gate};
 use crate::estimate::Slowness;
 use crate::prefix::PrefixHints;
-use crate::{Ask, Load, PeerLoad, Route, Site};
+use crate::{Load, PeerLoad, Route, RouteRequest, UpstreamInfo};
 use shaleline_types::{Millis, Org, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,7 +71,7 @@
 /// One upstream as this daemon sees it.
 #[derive(Debug)]
 pub(crate) struct Back {
-    pub(crate) site: Site,
+    pub(crate) site: UpstreamInfo,
     pub(crate) routes: BTreeSet<Route>,
     pub(crate) load: Load,
     /// What the other daemons had running there when it reported.
@@ -95,7 +95,7 @@
 }
 
 impl Back {
-    pub(crate) fn new(site: Site) -> Self {
+    pub(crate) fn new(site: UpstreamInfo) -> Self {
         Self {
             routes: site.routes.iter().cloned().collect(),
             site,
@@ -150,7 +150,7 @@
         until.is_some_and(|u| now < *u)
     }
 
-    pub(crate) fn set_site(&mut self, site: Site) {
+    pub(crate) fn set_site(&mut self, site: UpstreamInfo) {
         self.routes = site.routes.iter().cloned().collect();
         self.site = site;
     }
@@ -170,7 +170,7 @@
     }
 
     /// The uncached tokens of a prompt.
-    pub(crate) fn cold(&self, ask: &Ask) -> f64 {
+    pub(crate) fn cold(&self, ask: &RouteRequest) -> f64 {
         let warm = self.hints.matched(&ask.prefix);
         (warm..ask.prefix.len()).map(|i| ask.size(i)).sum()
     }
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -46,7 +46,7 @@
     }
 
     /// Notes that bytes came from an upstream: requests that wait there do not hang.
-    pub fn note_alive(&mut self, upstream: &Upstream, now: Millis) {
+    pub fn record_activity(&mut self, upstream: &Upstream, now: Millis) {
         if let Some(back) = self.backs.get_mut(upstream) {
             back.last_byte = now;
         }
@@ -61,23 +61,23 @@
     /// What one uncached token of a prompt costs for this route, in milliseconds.
     #[must_use]
     pub fn token_cost(&self, route: &Route) -> f64 {
-        self.tokens.get(route, self.settings.token)
+        self.tokens.get(route, self.settings.token_ms)
     }
 
     /// The names of the upstreams known.
-    pub fn names(&self) -> impl Iterator<Item = &Upstream> {
+    pub fn upstream_names(&self) -> impl Iterator<Item = &Upstream> {
         self.backs.keys()
     }
 
     /// Whether some upstream serves the route and takes new work.
     #[must_use]
     pub fn is_served(&self, route: &Route) -> bool {
-        self.serving(route) > 0
+        self.serving_count(route) > 0
     }
 
     /// How many upstreams serve the route and take new work.
     #[must_use]
-    pub fn serving(&self, route: &Route) -> usize {
+    pub fn serving_count(&self, route: &Route) -> usize {
         let serves = |b: &&Back| !b.is_leaving() && b.routes.contains(route);
         self.backs.values().filter(serves).count()
     }
--- a/crates/route/src/waiting.rs
+++ b/crates/route/src/waiting.rs
@@ -149,7 +149,11 @@
             return;
         };
         let elsewhere = self.choose(open, now).filter(|u| u != from);
-        let most = open.ask.terms.attempts.unwrap_or(self.settings.attempts);
+        let most = open
+            .ask
+            .policy
+            .max_attempts
+            .unwrap_or(self.settings.max_attempts);
         let may_move = open.ask.repeatable && open.reached < most;
         let Some(upstream) = elsewhere.filter(|_| may_move) else {
             return;
