--- a/crates/route/tests/allowance.rs
+++ b/crates/route/tests/allowance.rs
@@ -1,7 +1,10 @@
 //! Allowances that several daemons grant from: what runs in any window stays below the bound.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use shaleline_route::{Allowance, Credits, Draw, DrawStep, Grant, Granter, Part, Tolerance};
+use shaleline_route::{
+    Allocator, AllocatorShare, Allowance, Credits, GrantRequest, GrantResponse, GrantStep,
+    Tolerance,
+};
 use shaleline_testkit::cases;
 use shaleline_types::{Millis, Org};
 use std::net::SocketAddr;
@@ -32,24 +35,24 @@
 };
 
 /// A granter that has kept a third of all allowances for so long.
-fn granter(kept: u64) -> Granter {
-    let mut granter = Granter::new(TOLERANCE);
-    granter.set_part(third(), |_| Some(SMALL), START);
-    granter.set_part(third(), |_| Some(SMALL), START.plus(kept));
+fn granter(kept: u64) -> Allocator {
+    let mut granter = Allocator::new(TOLERANCE);
+    granter.set_share(third(), |_| Some(SMALL), START);
+    granter.set_share(third(), |_| Some(SMALL), START.plus(kept));
     granter
 }
 
-const fn third() -> Part {
-    Part {
-        of_all: 1.0 / 3.0,
+const fn third() -> AllocatorShare {
+    AllocatorShare {
+        fraction: 1.0 / 3.0,
         daemons: 90,
     }
 }
 
 /// What one that has kept its part for so long answers to a request of this cost.
 fn first_answer((kept, allowance, cost): (u64, Allowance, u64)) -> bool {
-    let answer = granter(kept).ask(&org(), &allowance, cost, 0, START.plus(kept));
-    matches!(answer, Grant::Granted(amount) if amount >= cost)
+    let answer = granter(kept).request(&org(), &allowance, cost, 0, START.plus(kept));
+    matches!(answer, GrantResponse::Granted(amount) if amount >= cost)
 }
 
 cases! { first_answer;
@@ -64,13 +67,13 @@
 fn a_part_that_is_given_up_is_worth_nothing() {
     let mut granter = granter(10_000);
     let now = START.plus(10_000);
-    granter.set_part(Part::NONE, |_| Some(SMALL), now);
-    let answer = granter.ask(&org(), &SMALL, 200, 0, now.plus(5_000));
-    assert_eq!(answer, Grant::Nothing);
+    granter.set_share(AllocatorShare::NONE, |_| Some(SMALL), now);
+    let answer = granter.request(&org(), &SMALL, 200, 0, now.plus(5_000));
+    assert_eq!(answer, GrantResponse::NoShare);
     // Taken up again it starts with nothing.
-    granter.set_part(third(), |_| Some(SMALL), now.plus(5_000));
-    let answer = granter.ask(&org(), &SMALL, 200, 0, now.plus(5_000));
-    assert!(matches!(answer, Grant::Denied(_)));
+    granter.set_share(third(), |_| Some(SMALL), now.plus(5_000));
+    let answer = granter.request(&org(), &SMALL, 200, 0, now.plus(5_000));
+    assert!(matches!(answer, GrantResponse::Denied(_)));
 }
 
 /// A daemon that has just become a hub kept nothing yet and told callers to come back after 5 s; their
@@ -79,14 +82,17 @@
 fn who_keeps_nothing_denies_nothing() {
     let mut credits = Credits::default();
     let granters = [address(1), address(2)];
-    let mut draw = Draw::new(org(), 1_000, &granters);
-    draw.next(&mut credits, START);
-    let answer = Granter::new(TOLERANCE).ask(&org(), &SMALL, 1_000, 0, START);
+    let mut draw = GrantRequest::new(org(), 1_000, &granters);
+    draw.next_step(&mut credits, START);
+    let answer = Allocator::new(TOLERANCE).request(&org(), &SMALL, 1_000, 0, START);
     let step = draw.on_grant(answer, &mut credits, START);
-    assert_eq!(step, DrawStep::Ask(address(2)));
-    assert_eq!(draw.next(&mut credits, START), DrawStep::Unanswered);
-    let mut next = Draw::new(org(), 1_000, &granters);
-    assert_eq!(next.next(&mut credits, START), DrawStep::Ask(address(1)));
+    assert_eq!(step, GrantStep::Query(address(2)));
+    assert_eq!(draw.next_step(&mut credits, START), GrantStep::Unanswered);
+    let mut next = GrantRequest::new(org(), 1_000, &granters);
+    assert_eq!(
+        next.next_step(&mut credits, START),
+        GrantStep::Query(address(1))
+    );
 }
 
 /// A lower limit holds at once, whatever was saved up under the one before.
@@ -94,10 +100,10 @@
 fn a_lower_limit_drops_what_was_saved_up() {
     let mut granter = granter(10_000);
     let now = START.plus(10_000);
-    let before = granter.ask(&org(), &LARGE, 10, 0, now);
-    assert!(matches!(before, Grant::Granted(_)));
+    let before = granter.request(&org(), &LARGE, 10, 0, now);
+    assert!(matches!(before, GrantResponse::Granted(_)));
     let mut granted = 0;
-    while let Grant::Granted(amount) = granter.ask(&org(), &SMALL, 1_000, 0, now) {
+    while let GrantResponse::Granted(amount) = granter.request(&org(), &SMALL, 1_000, 0, now) {
         granted += amount;
     }
     assert!((granted as f64) < SMALL.burst + 17_000.0 / 2.0, "{granted}");
@@ -109,9 +115,9 @@
 fn times_to_come_back_are_true_and_spread() {
     let mut granter = granter(10_000);
     let mut now = START.plus(10_000);
-    while let Grant::Granted(_) = granter.ask(&org(), &SMALL, 1_000, 0, now) {}
-    let told = (0..3).map(|_| match granter.ask(&org(), &SMALL, 1_000, 0, now) {
-        Grant::Denied(wait) => wait,
+    while let GrantResponse::Granted(_) = granter.request(&org(), &SMALL, 1_000, 0, now) {}
+    let told = (0..3).map(|_| match granter.request(&org(), &SMALL, 1_000, 0, now) {
+        GrantResponse::Denied(wait) => wait,
         other => panic!("{other:?}"),
     });
     let told: Vec<Millis> = told.collect();
@@ -119,16 +125,19 @@
     let came = now;
     for wait in told {
         now = came.plus(wait.0);
-        let answer = granter.ask(&org(), &SMALL, 1_000, 0, now);
-        assert!(matches!(answer, Grant::Granted(_)), "{wait} {answer:?}");
+        let answer = granter.request(&org(), &SMALL, 1_000, 0, now);
+        assert!(
+            matches!(answer, GrantResponse::Granted(_)),
+            "{wait} {answer:?}"
+        );
     }
 }
 
 /// What is larger than all that may be held never gets through: it is not told to come back at once.
 #[test]
 fn what_can_not_be_granted_is_told_the_longest_time() {
-    let answer = granter(10_000).ask(&org(), &SMALL, 100_000, 0, START.plus(10_000));
-    assert_eq!(answer, Grant::Denied(Millis(5_000)));
+    let answer = granter(10_000).request(&org(), &SMALL, 100_000, 0, START.plus(10_000));
+    assert_eq!(answer, GrantResponse::Denied(Millis(5_000)));
 }
 
 /// An organisation that asks for many times its usual takes nothing from another.
@@ -140,11 +149,11 @@
     for _ in 0..80 {
         now = now.plus(100);
         for _ in 0..30 {
-            granter.ask(&org(), &SMALL, 1_000, 0, now);
+            granter.request(&org(), &SMALL, 1_000, 0, now);
         }
         // A third of a small allowance is 140 tokens in this time.
-        let answer = granter.ask(&other, &SMALL, 100, 0, now);
-        assert!(matches!(answer, Grant::Granted(_)), "{answer:?}");
+        let answer = granter.request(&other, &SMALL, 100, 0, now);
+        assert!(matches!(answer, GrantResponse::Granted(_)), "{answer:?}");
     }
 }
 
@@ -153,44 +162,56 @@
 fn one_granter_after_the_other_is_asked() {
     let mut credits = Credits::default();
     let granters = [address(1), address(2)];
-    let mut draw = Draw::new(org(), 1_000, &granters);
-    assert_eq!(draw.next(&mut credits, START), DrawStep::Ask(address(1)));
-    let step = draw.on_grant(Grant::Denied(Millis(700)), &mut credits, START);
-    assert_eq!(step, DrawStep::Ask(address(2)));
-    let step = draw.on_grant(Grant::Denied(Millis(900)), &mut credits, START);
-    assert_eq!(step, DrawStep::Refuse(Millis(700)));
+    let mut draw = GrantRequest::new(org(), 1_000, &granters);
+    assert_eq!(
+        draw.next_step(&mut credits, START),
+        GrantStep::Query(address(1))
+    );
+    let step = draw.on_grant(GrantResponse::Denied(Millis(700)), &mut credits, START);
+    assert_eq!(step, GrantStep::Query(address(2)));
+    let step = draw.on_grant(GrantResponse::Denied(Millis(900)), &mut credits, START);
+    assert_eq!(step, GrantStep::Refuse(Millis(700)));
     // The next request is refused without a question; a smaller one is not.
     let now = START.plus(100);
-    let mut next = Draw::new(org(), 2_000, &granters);
-    assert_eq!(next.next(&mut credits, now), DrawStep::Refuse(Millis(600)));
-    let mut small = Draw::new(org(), 200, &granters);
-    assert_eq!(small.next(&mut credits, now), DrawStep::Ask(address(1)));
-    let mut later = Draw::new(org(), 2_000, &granters);
-    let step = later.next(&mut credits, now.plus(700));
-    assert_eq!(step, DrawStep::Ask(address(1)));
+    let mut next = GrantRequest::new(org(), 2_000, &granters);
+    assert_eq!(
+        next.next_step(&mut credits, now),
+        GrantStep::Refuse(Millis(600))
+    );
+    let mut small = GrantRequest::new(org(), 200, &granters);
+    assert_eq!(
+        small.next_step(&mut credits, now),
+        GrantStep::Query(address(1))
+    );
+    let mut later = GrantRequest::new(org(), 2_000, &granters);
+    let step = later.next_step(&mut credits, now.plus(700));
+    assert_eq!(step, GrantStep::Query(address(1)));
 }
 
 #[test]
 fn a_granter_that_does_not_answer_is_no_refusal() {
     let mut credits = Credits::default();
-    let mut draw = Draw::new(org(), 1_000, &[address(1)]);
-    assert_eq!(draw.next(&mut credits, START), DrawStep::Ask(address(1)));
-    assert_eq!(draw.next(&mut credits, START), DrawStep::Unanswered);
+    let mut draw = GrantRequest::new(org(), 1_000, &[address(1)]);
+    assert_eq!(
+        draw.next_step(&mut credits, START),
+        GrantStep::Query(address(1))
+    );
+    assert_eq!(draw.next_step(&mut credits, START), GrantStep::Unanswered);
 }
 
 /// What comes in advance serves the next requests without a question.
 #[test]
 fn what_is_held_in_advance_needs_no_question() {
     let mut credits = Credits::default();
-    let mut draw = Draw::new(org(), 200, &[address(1)]);
-    draw.next(&mut credits, START);
-    let step = draw.on_grant(Grant::Granted(700), &mut credits, START);
-    assert_eq!(step, DrawStep::Admit);
+    let mut draw = GrantRequest::new(org(), 200, &[address(1)]);
+    draw.next_step(&mut credits, START);
+    let step = draw.on_grant(GrantResponse::Granted(700), &mut credits, START);
+    assert_eq!(step, GrantStep::Admit);
     assert_eq!(credits.held(&org()), 500);
-    let mut next = Draw::new(org(), 200, &[address(1)]);
-    assert_eq!(next.next(&mut credits, START), DrawStep::Admit);
+    let mut next = GrantRequest::new(org(), 200, &[address(1)]);
+    assert_eq!(next.next_step(&mut credits, START), GrantStep::Admit);
     // Under another limit nothing is.
-    credits.keep(|_| false);
+    credits.retain(|_| false);
     assert_eq!(credits.held(&org()), 0);
 }
 
@@ -200,7 +221,7 @@
     /// Time passes.
     Wait(u64),
     /// So many requests of this cost come to one daemon, which asks this granter.
-    Ask(u8, u8, u64),
+    Request(u8, u8, u64),
     /// A granter's data centre takes another of its daemons for the granter: it starts with
     /// nothing, and for a moment both keep the part.
     Move(u8),
@@ -224,7 +245,7 @@
             6 => Self::Suspend(ms),
             _ => {
                 let cost = *g.choose(&[200, 1_500, 3_000, 6_000]).expect("some");
-                Self::Ask(centre, u8::arbitrary(g), cost)
+                Self::Request(centre, u8::arbitrary(g), cost)
             }
         }
     }
@@ -241,9 +262,9 @@
 struct World {
     now: Millis,
     heard: [f64; CENTRES],
-    granters: Vec<Granter>,
+    granters: Vec<Allocator>,
     /// Those that were replaced and still keep their part, until when.
-    old: Vec<(usize, Granter, Millis)>,
+    old: Vec<(usize, Allocator, Millis)>,
     credits: Vec<Credits>,
     allowance: Allowance,
     /// What ran, and when.
@@ -255,7 +276,7 @@
         let mut world = Self {
             now: START,
             heard: [1.0; CENTRES],
-            granters: (0..CENTRES).map(|_| Granter::new(TOLERANCE)).collect(),
+            granters: (0..CENTRES).map(|_| Allocator::new(TOLERANCE)).collect(),
             old: Vec::new(),
             credits: (0..DAEMONS).map(|_| Credits::default()).collect(),
             allowance,
@@ -268,16 +289,16 @@
     fn share(&mut self) {
         let allowance = self.allowance;
         for (granter, heard) in self.granters.iter_mut().zip(self.heard) {
-            let part = Part {
-                of_all: heard / CENTRES as f64,
+            let part = AllocatorShare {
+                fraction: heard / CENTRES as f64,
                 daemons: DAEMONS,
             };
-            granter.set_part(part, |_| Some(allowance), self.now);
+            granter.set_share(part, |_| Some(allowance), self.now);
         }
         let now = self.now;
         for (_, granter, until) in &mut self.old {
             if now >= *until {
-                granter.set_part(Part::NONE, |_| Some(allowance), now);
+                granter.set_share(AllocatorShare::NONE, |_| Some(allowance), now);
             }
         }
         self.old.retain(|(_, _, until)| now < *until);
@@ -290,14 +311,14 @@
             Some((_, granter, _)) if daemon % 2 == 0 => granter,
             _ => &mut self.granters[centre],
         };
-        let mut draw = Draw::new(org(), cost, &[address(centre as u8)]);
-        let mut step = draw.next(credits, self.now);
-        if matches!(step, DrawStep::Ask(_)) {
+        let mut draw = GrantRequest::new(org(), cost, &[address(centre as u8)]);
+        let mut step = draw.next_step(credits, self.now);
+        if matches!(step, GrantStep::Query(_)) {
             let held = credits.held(&org());
-            let grant = granter.ask(&org(), &self.allowance, cost, held, self.now);
+            let grant = granter.request(&org(), &self.allowance, cost, held, self.now);
             step = draw.on_grant(grant, credits, self.now);
         }
-        if step == DrawStep::Admit {
+        if step == GrantStep::Admit {
             self.ran.push((self.now, cost));
         }
     }
@@ -313,14 +334,14 @@
                 self.now = self.now.plus(ms % 300);
                 self.share();
             }
-            Step::Ask(centre, count, cost) => {
+            Step::Request(centre, count, cost) => {
                 for number in 0..usize::from(count) {
                     self.ask(usize::from(centre), number % DAEMONS, cost);
                 }
             }
             Step::Move(centre) => {
                 let centre = usize::from(centre);
-                let fresh = Granter::new(TOLERANCE);
+                let fresh = Allocator::new(TOLERANCE);
                 let before = std::mem::replace(&mut self.granters[centre], fresh);
                 // Who hears nobody yet keeps nothing yet.
                 if self.old.is_empty() {
@@ -329,7 +350,7 @@
                 self.share();
             }
             Step::Restart(centre) => {
-                self.granters[usize::from(centre)] = Granter::new(TOLERANCE);
+                self.granters[usize::from(centre)] = Allocator::new(TOLERANCE);
                 self.credits[usize::from(centre)] = Credits::default();
                 self.share();
             }
--- a/crates/route/tests/crashes.rs
+++ b/crates/route/tests/crashes.rs
@@ -2,8 +2,8 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shaleline_route::{
-    Ask, CrashNote, Crashes, End, Limits, Load, Route, RouteAction, RouteEvent, Router,
-    RouterSettings, ShareBook, Site, Terms, MOST_ENDS,
+    AttemptEnd, CrashNote, Crashes, Limits, Load, RequestPolicy, Route, RouteAction, RouteEvent,
+    RouteRequest, Router, RouterSettings, ShareBook, UpstreamInfo, MAX_CRASHES,
 };
 use shaleline_testkit::cases;
 use shaleline_types::{
@@ -40,7 +40,7 @@
     let request = identity("a", 1);
     assert!(crashes.on_end(request, start(1), NOW).is_some());
     assert!(crashes.on_end(request, start(1), NOW).is_none());
-    assert_eq!(crashes.ends(&request.request), 1);
+    assert_eq!(crashes.crash_count(&request.request), 1);
 }
 
 #[test]
@@ -50,24 +50,24 @@
     crashes.on_end(request, start(1), NOW);
     let later = NOW.plus(2_500);
     let note = crashes.on_end(request, start(1), later).expect("news");
-    assert_eq!(crashes.ends(&request.request), 2);
+    assert_eq!(crashes.crash_count(&request.request), 2);
     // Another daemon that saw the same end tells it as the same.
     let mut other = Crashes::default();
     other.on_end(request, start(1), NOW);
     other.on_end(request, start(1), later.plus(20));
     other.merge(&note, later.plus(40));
-    assert_eq!(other.ends(&request.request), 2);
+    assert_eq!(other.crash_count(&request.request), 2);
 }
 
 #[test]
 fn a_caller_with_many_requests_loses_its_own() {
     let mut crashes = Crashes::default();
     let other = identity("b", 0);
-    end_many(&mut crashes, other, MOST_ENDS, NOW);
+    end_many(&mut crashes, other, MAX_CRASHES, NOW);
     for number in 0..10 * OF_CALLER as u64 {
-        end_many(&mut crashes, identity("a", number), MOST_ENDS, NOW);
+        end_many(&mut crashes, identity("a", number), MAX_CRASHES, NOW);
     }
-    assert_eq!(crashes.ends(&other.request), MOST_ENDS);
+    assert_eq!(crashes.crash_count(&other.request), MAX_CRASHES);
     assert_eq!(crashes.counts().0, OF_CALLER + 1);
 }
 
@@ -75,7 +75,7 @@
 fn many_callers_fill_no_more_than_there_is_room() {
     let mut crashes = Crashes::default();
     let victim = identity("victim", 0);
-    end_many(&mut crashes, victim, MOST_ENDS, NOW);
+    end_many(&mut crashes, victim, MAX_CRASHES, NOW);
     for caller in 0..2 * (IN_ALL / OF_CALLER) {
         for number in 0..OF_CALLER as u64 {
             let name = format!("c{caller}");
@@ -83,23 +83,23 @@
         }
     }
     assert!(crashes.counts().0 <= IN_ALL);
-    assert_eq!(crashes.ends(&victim.request), MOST_ENDS);
+    assert_eq!(crashes.crash_count(&victim.request), MAX_CRASHES);
 }
 
 /// How many ends of a blocked request count so long after.
 fn left_after(millis: u64) -> usize {
     let mut crashes = Crashes::default();
     let request = identity("a", 1);
-    end_many(&mut crashes, request, MOST_ENDS, NOW);
+    end_many(&mut crashes, request, MAX_CRASHES, NOW);
     for step in 0..=millis / 1_000 {
         crashes.tick(NOW.plus(step * 1_000));
     }
-    crashes.ends(&request.request)
+    crashes.crash_count(&request.request)
 }
 
 cases! { left_after;
-    a_blocked_request_stays_so: LIFE - 1_000 => MOST_ENDS,
-    it_may_be_tried_once_after_its_time: LIFE => MOST_ENDS - 1,
+    a_blocked_request_stays_so: LIFE - 1_000 => MAX_CRASHES,
+    it_may_be_tried_once_after_its_time: LIFE => MAX_CRASHES - 1,
     it_is_forgotten_in_the_end: 3 * LIFE => 0,
 }
 
@@ -110,7 +110,7 @@
     let late = crashes.on_end(request, start(1), NOW).expect("news");
     crashes.clear(&request.request, NOW);
     assert!(!crashes.merge(&late, NOW.plus(500)));
-    assert_eq!(crashes.ends(&request.request), 0);
+    assert_eq!(crashes.crash_count(&request.request), 0);
 }
 
 /// What daemons find out, in the order in which it is found, and in which order each hears of it.
@@ -152,7 +152,7 @@
     });
     let same = |r: u64| {
         let request = identity("a", r).request;
-        first.ends(&request) == second.ends(&request)
+        first.crash_count(&request) == second.crash_count(&request)
     };
     first.digest() == second.digest() && (0..3).all(same)
 }
@@ -178,13 +178,13 @@
         let mut router = Router::new(settings, ShareBook::alone("me"));
         for number in 0..upstreams {
             let upstream = Upstream::from_text(&format!("i-{number}")).expect("a valid name");
-            let site = Site {
+            let info = UpstreamInfo {
                 centre: centre.clone(),
                 routes: vec![route()],
             };
             let serves = RouteEvent::Serves {
                 upstream: upstream.clone(),
-                site,
+                info,
             };
             router.step(serves, NOW);
             let load = Load {
@@ -222,7 +222,7 @@
     }
 
     fn ask(&mut self, id: u64, identity: Identity) {
-        let ask = Ask {
+        let ask = RouteRequest {
             id: RequestId(id),
             org: Org::from_text("o").expect("a valid name"),
             route: route(),
@@ -230,7 +230,7 @@
             weight: 1,
             cost: 1,
             prefix: Vec::new(),
-            sizes: Vec::new(),
+            block_sizes: Vec::new(),
             due: NOW.plus(5_000),
             repeatable: false,
             limits: Limits {
@@ -238,13 +238,13 @@
                 concurrency: 10_000,
                 tokens: 1_000_000,
             },
-            terms: Terms::default(),
+            policy: RequestPolicy::default(),
             identity: Some(identity),
         };
         self.step(RouteEvent::Arrive(Box::new(ask)));
     }
 
-    fn end(&mut self, id: u64, end: End) {
+    fn end(&mut self, id: u64, end: AttemptEnd) {
         let (attempt, _) = self.at.remove(&id).expect("it was sent");
         let id = RequestId(id);
         self.step(RouteEvent::Ended { id, attempt, end });
@@ -265,7 +265,7 @@
     let mut placing = Placing::new(8, 20);
     (0..12).for_each(|id| placing.ask(id, identity("a", 1)));
     assert_eq!(placing.at.len(), 12);
-    assert_eq!(placing.places(0..12).len(), MOST_ENDS);
+    assert_eq!(placing.places(0..12).len(), MAX_CRASHES);
 }
 
 #[test]
@@ -273,7 +273,7 @@
     let mut placing = Placing::new(8, 20);
     placing.ask(0, identity("a", 1));
     placing.ask(1, identity("a", 1));
-    placing.end(0, End::Whole);
+    placing.end(0, AttemptEnd::Whole);
     (2..40).for_each(|id| placing.ask(id, identity("a", 1)));
     assert_eq!(placing.places(1..40).len(), 8);
 }
@@ -325,7 +325,7 @@
     placing.ask(0, identity("a", 1));
     let note = CrashNote {
         identity: identity("a", 1),
-        ended: (0..MOST_ENDS as u64).map(start).collect(),
+        ended: (0..MAX_CRASHES as u64).map(start).collect(),
         cleared: [].into(),
         age: 0,
     };
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,9 +1,9 @@
 //! Admission, queues, choice, retries, leaving upstreams.
 
 use shaleline_route::{
-    prefix_chain, share_of, Ask, Drain, DrainAction, End, LimitKind, Limits, Load, PeerLoad,
-    PeerSight, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook, Site, Terms,
-    Unfinished,
+    prefix_chain, share_of, AttemptEnd, Drain, DrainAction, LimitKind, Limits, Load, PeerLoad,
+    PeerVisibility, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest, Router,
+    RouterSettings, ShareBook, Unfinished, UpstreamInfo,
 };
 use shaleline_types::{DataCentre, ErrorKind, Millis, Org, RequestId, Service, Upstream};
 
@@ -30,14 +30,14 @@
 }
 
 fn add(router: &mut Router, name: &str, slots: usize) {
-    let site = Site {
+    let info = UpstreamInfo {
         centre: centre(),
         routes: vec![route()],
     };
     router.step(
         RouteEvent::Serves {
             upstream: up(name),
-            site,
+            info,
         },
         NOW,
     );
@@ -54,8 +54,8 @@
     );
 }
 
-fn ask(id: u64, name: &str, priority: u8) -> Ask {
-    Ask {
+fn ask(id: u64, name: &str, priority: u8) -> RouteRequest {
+    RouteRequest {
         id: RequestId(id),
         org: org(name),
         route: route(),
@@ -63,7 +63,7 @@
         weight: 1,
         cost: 10,
         prefix: Vec::new(),
-        sizes: Vec::new(),
+        block_sizes: Vec::new(),
         due: NOW.plus(1_000),
         repeatable: true,
         limits: Limits {
@@ -71,16 +71,16 @@
             concurrency: 100,
             tokens: 100_000,
         },
-        terms: Terms::default(),
+        policy: RequestPolicy::default(),
         identity: None,
     }
 }
 
-fn arrive(router: &mut Router, ask: Ask) -> Vec<RouteAction> {
+fn arrive(router: &mut Router, ask: RouteRequest) -> Vec<RouteAction> {
     router.step(RouteEvent::Arrive(Box::new(ask)), NOW)
 }
 
-fn end(router: &mut Router, id: u64, attempt: u32, end: End) -> Vec<RouteAction> {
+fn end(router: &mut Router, id: u64, attempt: u32, end: AttemptEnd) -> Vec<RouteAction> {
     let id = RequestId(id);
     router.step(RouteEvent::Ended { id, attempt, end }, NOW)
 }
@@ -160,7 +160,7 @@
     add(&mut r, "a", 4);
     add(&mut r, "b", 4);
     let first = sent_to(&arrive(&mut r, ask(1, "o", 1)));
-    let second = sent_to(&end(&mut r, 1, 1, End::Broken));
+    let second = sent_to(&end(&mut r, 1, 1, AttemptEnd::Broken));
     assert_ne!(first[0].1, second[0].1);
 }
 
@@ -172,7 +172,7 @@
     let mut once = ask(1, "o", 1);
     once.repeatable = false;
     arrive(&mut r, once);
-    let actions = end(&mut r, 1, 1, End::Broken);
+    let actions = end(&mut r, 1, 1, AttemptEnd::Broken);
     assert_eq!(refused(&actions), [ErrorKind::UpstreamFailed]);
     assert!(sent_to(&actions).is_empty());
 }
@@ -185,7 +185,7 @@
     let mut once = ask(1, "o", 1);
     once.repeatable = false;
     arrive(&mut r, once);
-    assert_eq!(sent_to(&end(&mut r, 1, 1, End::NotSent)).len(), 1);
+    assert_eq!(sent_to(&end(&mut r, 1, 1, AttemptEnd::NotSent)).len(), 1);
 }
 
 #[test]
@@ -194,8 +194,8 @@
     add(&mut r, "a", 4);
     add(&mut r, "b", 4);
     arrive(&mut r, ask(1, "o", 1));
-    end(&mut r, 1, 1, End::Broken);
-    assert!(end(&mut r, 1, 1, End::Whole).is_empty());
+    end(&mut r, 1, 1, AttemptEnd::Broken);
+    assert!(end(&mut r, 1, 1, AttemptEnd::Whole).is_empty());
     assert_eq!((r.stats().open, r.stats().late), (1, 1));
 }
 
@@ -206,7 +206,7 @@
     arrive(&mut r, ask(1, "o", 5));
     arrive(&mut r, ask(2, "o", 5));
     arrive(&mut r, ask(3, "o", 0));
-    assert_eq!(sent_to(&end(&mut r, 1, 1, End::Whole))[0].0, 3);
+    assert_eq!(sent_to(&end(&mut r, 1, 1, AttemptEnd::Whole))[0].0, 3);
 }
 
 /// Requests on routes that a configuration had added were less urgent than others of their service. While it
@@ -224,7 +224,7 @@
     }
     let (mut running, mut served) = (1, Vec::new());
     for _ in 0..FREED {
-        running = sent_to(&end(&mut r, running, 1, End::Whole))[0].0;
+        running = sent_to(&end(&mut r, running, 1, AttemptEnd::Whole))[0].0;
         served.extend((running > 1_000).then_some(running));
     }
     assert_eq!(served, [1_001, 1_002, 1_003, 1_004]);
@@ -241,7 +241,7 @@
     let mut order = Vec::new();
     let mut running = 1;
     for _ in 0..3 {
-        running = sent_to(&end(&mut r, running, 1, End::Whole))[0].0;
+        running = sent_to(&end(&mut r, running, 1, AttemptEnd::Whole))[0].0;
         order.push(running);
     }
     assert!(order[..2].contains(&11), "{order:?}");
@@ -309,11 +309,11 @@
         (ErrorKind::RateLimited, Some(Millis(1_000)))
     );
     assert_eq!(
-        r.take_short(),
+        r.take_exceeded(),
         [(org("o"), LimitKind::Rate)],
         "some may be borrowed"
     );
-    assert!(r.take_short().is_empty());
+    assert!(r.take_exceeded().is_empty());
 }
 
 #[test]
@@ -338,20 +338,20 @@
     let mut book = ShareBook::joining("a", Millis(0));
     book.set_members(&["a", "b", "c"], Millis(0));
     assert_eq!(
-        book.part(&org("o"), kind, limit, Millis(0)),
+        book.share(&org("o"), kind, limit, Millis(0)),
         0,
         "a newcomer has nothing"
     );
-    assert_eq!(book.part(&org("o"), kind, limit, Millis(3_000)), 30);
+    assert_eq!(book.share(&org("o"), kind, limit, Millis(3_000)), 30);
     book.set_members(&["a", "b"], Millis(4_000));
     assert_eq!(
-        book.part(&org("o"), kind, limit, Millis(4_000)),
+        book.share(&org("o"), kind, limit, Millis(4_000)),
         30,
         "c may still use its part"
     );
-    assert_eq!(book.part(&org("o"), kind, limit, Millis(7_001)), 45);
+    assert_eq!(book.share(&org("o"), kind, limit, Millis(7_001)), 45);
     book.set_members(&["a", "b", "c"], Millis(8_000));
-    assert_eq!(book.part(&org("o"), kind, limit, Millis(8_000)), 30);
+    assert_eq!(book.share(&org("o"), kind, limit, Millis(8_000)), 30);
 }
 
 #[test]
@@ -369,10 +369,10 @@
     b.borrow(&org("o"), kind, amount, Millis(1_000));
     for ms in (1_000..20_000).step_by(500) {
         let sum =
-            a.part(&org("o"), kind, 100, Millis(ms)) + b.part(&org("o"), kind, 100, Millis(ms));
+            a.share(&org("o"), kind, 100, Millis(ms)) + b.share(&org("o"), kind, 100, Millis(ms));
         assert!(sum <= 100, "{sum} at {ms}");
     }
-    assert_eq!(b.part(&org("o"), kind, 100, Millis(2_000)), 75);
+    assert_eq!(b.share(&org("o"), kind, 100, Millis(2_000)), 75);
     assert_eq!(
         a.lend(&org("o"), kind, &limits, 0, Millis(2_000)),
         0,
@@ -422,7 +422,7 @@
     }
     assert_eq!(sent_to(&arrive(&mut r, ask(30, "few", 5))).len(), 1);
     assert_eq!(
-        sent_to(&end(&mut r, 30, 1, End::Whole)).len(),
+        sent_to(&end(&mut r, 30, 1, AttemptEnd::Whole)).len(),
         0,
         "many has no place left"
     );
@@ -439,7 +439,7 @@
     let end = RouteEvent::Ended {
         id: RequestId(1),
         attempt: 1,
-        end: End::Refused,
+        end: AttemptEnd::Refused,
     };
     router.step(end, NOW);
     let next = router.step(RouteEvent::Arrive(Box::new(ask(2, "a", 1))), NOW.plus(1));
@@ -453,14 +453,14 @@
 
 /// A prompt of so many tokens at half a millisecond each, on a route whose prompts may have
 /// 125 ms ahead.
-fn paced(id: u64, tokens: u32) -> Ask {
-    Ask {
+fn paced(id: u64, tokens: u32) -> RouteRequest {
+    RouteRequest {
         prefix: vec![id],
-        sizes: vec![tokens],
-        terms: Terms {
-            wait: Some(Millis(300)),
-            pace: Some(Millis(125)),
-            ..Terms::default()
+        block_sizes: vec![tokens],
+        policy: RequestPolicy {
+            max_wait: Some(Millis(300)),
+            backlog_limit: Some(Millis(125)),
+            ..RequestPolicy::default()
         },
         ..ask(id, "o", 1)
     }
@@ -474,15 +474,15 @@
         backlog,
     };
     let upstream = up(name);
-    router.step(RouteEvent::Peers { upstream, load }, NOW);
+    router.step(RouteEvent::PeerReport { upstream, load }, NOW);
 }
 
 /// A router beside others that send to the same upstreams.
 fn among_others() -> Router {
     let mut router = router();
-    router.set_sight(PeerSight {
-        own_part: 0.1,
-        ..PeerSight::default()
+    router.set_peer_visibility(PeerVisibility {
+        own_share: 0.1,
+        ..PeerVisibility::default()
     });
     router
 }
@@ -552,7 +552,7 @@
     let mut r = among_others();
     add(&mut r, "a", 40);
     arrive(&mut r, paced(1, 60));
-    let back = Ask {
+    let back = RouteRequest {
         priority: 17,
         ..paced(2, 60)
     };
--- a/crates/standin/src/engine_state.rs
+++ b/crates/standin/src/engine_state.rs
@@ -136,7 +136,7 @@
         }
         self.highest = self.highest.max(order.number);
         match (order.kind, &order.item) {
-            (OrderKind::Touch, _) => self.end_order(order.number, OrderEnd::Done),
+            (OrderKind::NoOp, _) => self.end_order(order.number, OrderEnd::Done),
             (OrderKind::Load, Some(item)) => return self.begin_load(order, item),
             (OrderKind::Unload, Some(item)) => self.begin_unload(order.number, item),
             (_, None) => self.end_order(order.number, OrderEnd::Failed),
@@ -272,7 +272,7 @@
         let engine = EngineReport {
             incarnation: self.incarnation,
             memory: self.spec.memory,
-            checks: self.spec.checks,
+            checks_fence: self.spec.checks,
             leaving: self.leaving,
             resident: ready.map(pair).collect(),
             loading: self.loading.iter().map(pair).collect(),
