--- a/crates/bench/src/plans.rs
+++ b/crates/bench/src/plans.rs
@@ -9,8 +9,8 @@
 use eyre::Result;
 use serde_json::json;
 use shaleline_fleet::{
-    Catalog, Fleet, Held, LeadTime, LoadWindow, ModelRule, Order, OrderKind, OrderReply,
-    PlanSettings, PlanView, Planner, Rate, Rates, Sighting, UnmetByKey,
+    Catalog, Fleet, Held, HeldSource, LoadWindow, ModelProfile, Order, OrderKind, OrderReply,
+    PlanSettings, PlanView, Planner, Rate, Rates, UnmetByKey, WarmupPhase,
 };
 use shaleline_types::{Adapter, DataCentre, Megabytes, Millis, Model, Upstream};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -86,22 +86,22 @@
 
 fn catalog(engines: usize, models: usize) -> Catalog {
     let adapters = engines * ADAPTERS / ENGINES;
-    let rule = |number| ModelRule {
-        size: Megabytes(70_000),
-        store: Millis(8_000),
-        disk: Millis(1_600),
-        warm: Millis(800),
+    let rule = |number| ModelProfile {
+        weights_size: Megabytes(70_000),
+        store_time: Millis(8_000),
+        disk_time: Millis(1_600),
+        warm_time: Millis(800),
         adapters: (number..adapters).step_by(models).map(adapter).collect(),
         adapter_size: Megabytes(50),
     };
     Catalog {
         models: (0..models).map(|m| (model(m), rule(m))).collect(),
         memory: Megabytes(220_000),
-        places: 8,
-        rate: RATE * engines as f64 / ENGINES as f64,
-        slots: 64,
-        copies: Megabytes(150_000),
-        disk: Megabytes(440_000),
+        adapter_slots: 8,
+        load_rate: RATE * engines as f64 / ENGINES as f64,
+        request_slots: 64,
+        warm_memory: Megabytes(150_000),
+        disk_space: Megabytes(440_000),
     }
 }
 
@@ -166,7 +166,7 @@
             let centre = DataCentre::from_text("dc1").expect("a valid name");
             let now = Millis(play.now);
             play.fleet
-                .sight(&name, &centre, held, Sighting::Listed, now);
+                .observe(&name, &centre, held, HeldSource::Listed, now);
         }
         play
     }
@@ -198,9 +198,9 @@
             unmet: &UnmetByKey::new(),
             fence: 1,
             holder: "me",
-            lead: LeadTime::Over,
-            resting: &BTreeMap::new(),
-            succeeds: false,
+            warmup: WarmupPhase::Over,
+            cooldowns: &BTreeMap::new(),
+            after_failure: false,
         };
         let orders = self.planner.plan(&view, &mut self.window, now);
         let micros = began.elapsed().as_micros() as f64;
@@ -224,14 +224,14 @@
         let takes = match (order.kind, &order.adapter) {
             (_, Some(_)) => Millis(20),
             (OrderKind::Unload, None) => Millis(300),
-            (OrderKind::Load, None) if near => rule.disk,
+            (OrderKind::Load, None) if near => rule.disk_time,
             (OrderKind::Load, None) => {
-                self.window.note(now);
-                rule.store
+                self.window.record(now);
+                rule.store_time
             }
         };
-        self.fleet.note_sent(&order, now);
-        self.fleet.note_reply(&order, OrderReply::Accepted, now);
+        self.fleet.record_sent(&order, now);
+        self.fleet.record_reply(&order, OrderReply::Accepted, now);
         self.work.push_back((self.now + takes.0, order));
     }
 }
--- a/crates/fleet/src/adapt.rs
+++ b/crates/fleet/src/adapters.rs
@@ -1,7 +1,7 @@
 //! Which adapters are loaded where.
 
-use crate::board::Board;
 use crate::draft::Draft;
+use crate::valuation::Board;
 use crate::waits::Wait;
 use crate::{Engine, OrderKind};
 use shaleline_types::{Adapter, Model};
@@ -126,10 +126,10 @@
             let taken = engine.worst_adapters();
             let used = taken.len();
             let transit = engine.pending.iter().filter(|p| p.order.adapter.is_some());
-            if transit.count() >= self.settings.transit {
+            if transit.count() >= self.settings.pending_adapters {
                 return None;
             }
-            let victim = if used < snapshot.catalog.places {
+            let victim = if used < snapshot.catalog.adapter_slots {
                 None
             } else {
                 let displaces = match count {
@@ -165,7 +165,7 @@
     ) -> Option<(&'a Model, &'a Adapter)> {
         let kept = engine.certain_adapters();
         let kept = kept.filter(|place| self.waiting.kept.contains(place));
-        let most = self.snapshot.catalog.places / KEPT_PART;
+        let most = self.snapshot.catalog.adapter_slots / KEPT_PART;
         if displaces == Displaces::Asked && kept.count() > most {
             return None;
         }
--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/best_move.rs
@@ -1,8 +1,8 @@
 //! The best move for one model, among those that are possible.
 
-use crate::board::{seconds, Board, ABSENT_HORIZON_S, HORIZON_S};
+use crate::distribution::{lost_share, CAPACITY};
 use crate::draft::Draft;
-use crate::flow::{lost_share, CAPACITY};
+use crate::valuation::{seconds, Board, ABSENT_HORIZON_S, HORIZON_S};
 use shaleline_types::Millis;
 
 /// What the last load that the weight store bears must be worth at the least, in seconds of all
--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -6,15 +6,15 @@
 
 /// One model that must stay reachable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ModelRule {
+pub struct ModelProfile {
     /// The memory that its weights take.
-    pub size: Megabytes,
+    pub weights_size: Megabytes,
     /// The time of a load from the weight store.
-    pub store: Millis,
+    pub store_time: Millis,
     /// The time of a load from a copy on the engine's disk.
-    pub disk: Millis,
+    pub disk_time: Millis,
     /// The time of a load from a copy in the engine's main memory.
-    pub warm: Millis,
+    pub warm_time: Millis,
     /// Its adapters.
     pub adapters: Vec<Adapter>,
     /// The memory that each adapter takes.
@@ -25,17 +25,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     /// The models.
-    pub models: BTreeMap<Model, ModelRule>,
+    pub models: BTreeMap<Model, ModelProfile>,
     /// The memory of an engine for weights and adapters.
     pub memory: Megabytes,
     /// The adapters that an engine may hold.
-    pub places: usize,
+    pub adapter_slots: usize,
     /// The loads a second that the weight store allows over all engines.
-    pub rate: f64,
+    pub load_rate: f64,
     /// The requests that an engine runs at once.
-    pub slots: usize,
+    pub request_slots: usize,
     /// The main memory of an engine for copies of weights.
-    pub copies: Megabytes,
+    pub warm_memory: Megabytes,
     /// The disk of an engine for copies of weights.
-    pub disk: Megabytes,
+    pub disk_space: Megabytes,
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -59,7 +59,7 @@
 
 impl Demand {
     /// Notes a request that takes `work` milliseconds of an engine.
-    pub fn note(&mut self, model: &Model, adapter: Option<&Adapter>, work: f64, now: Millis) {
+    pub fn record(&mut self, model: &Model, adapter: Option<&Adapter>, work: f64, now: Millis) {
         let key = (model.clone(), adapter.cloned());
         let average = self.averages.entry(key).or_default();
         average.level = average.at(now);
--- a/crates/fleet/src/draft.rs
+++ b/crates/fleet/src/draft.rs
@@ -1,9 +1,9 @@
 //! The orders of one plan as it is made.
 
-use crate::adapt::{count_copies, AdapterCopies};
+use crate::adapters::{count_copies, AdapterCopies};
 use crate::snapshot::Snapshot;
 use crate::waits::Waiting;
-use crate::{ModelRule, Order, OrderKind, PlanNote, PlanSettings};
+use crate::{ModelProfile, Order, OrderKind, PlanNote, PlanSettings};
 use shaleline_types::{Adapter, Millis, Model, Upstream};
 
 /// An engine that loads a model is worth waiting for if it is done within this time.
@@ -110,8 +110,8 @@
         (0..self.taken.len()).filter(|p| self.is_free(*p))
     }
 
-    pub(crate) fn has_room(&self, place: usize, rule: &ModelRule) -> bool {
-        rule.size <= self.snapshot.places[place].row.room
+    pub(crate) fn has_room(&self, place: usize, rule: &ModelProfile) -> bool {
+        rule.weights_size <= self.snapshot.places[place].row.room
     }
 
     pub(crate) fn order(
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -1,7 +1,7 @@
 //! What is believed of one engine.
 
 use crate::changes::Changes;
-use crate::{Catalog, ModelRule, Order, OrderKind};
+use crate::{Catalog, ModelProfile, Order, OrderKind};
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Adapter, DataCentre, Incarnation, Megabytes, Millis, Model};
 use std::cmp;
@@ -14,7 +14,7 @@
     /// The models, each with its adapters.
     pub models: BTreeMap<Model, BTreeSet<Adapter>>,
     /// Adapters that are on their way.
-    pub coming: BTreeSet<(Model, Adapter)>,
+    pub loading_adapters: BTreeSet<(Model, Adapter)>,
     /// The models of which a copy is in its main memory.
     pub warm: BTreeSet<Model>,
     /// The models of which a copy is on its disk.
@@ -37,7 +37,7 @@
 
 /// Where a sighting of an engine comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sighting {
+pub enum HeldSource {
     /// Its entry in the platform's list, which may be older than what is known.
     Listed,
     /// Its own report, or what the planner told.
@@ -184,7 +184,7 @@
 
     /// Whether an order is not known to be carried out.
     #[must_use]
-    pub fn awaits(&self, order: &Order) -> bool {
+    pub fn has_pending(&self, order: &Order) -> bool {
         self.pending.iter().any(|p| p.order == *order)
     }
 
@@ -215,10 +215,10 @@
 
     /// Every adapter that may take a place, in the worst case.
     pub(crate) fn worst_adapters(&self) -> BTreeSet<(&Model, &Adapter)> {
-        let proof = self
-            .proof
-            .iter()
-            .flat_map(|p| p.adapters().chain(p.coming.iter().map(|(m, a)| (m, a))));
+        let proof = self.proof.iter().flat_map(|p| {
+            p.adapters()
+                .chain(p.loading_adapters.iter().map(|(m, a)| (m, a)))
+        });
         let loads = self.open_orders().filter_map(|o| {
             let adapter = o.adapter.as_ref()?;
             (o.kind == OrderKind::Load).then_some((&o.model, adapter))
@@ -235,7 +235,7 @@
     pub(crate) fn worst_memory(&self, catalog: &Catalog) -> Megabytes {
         let rule = |m: &Model| catalog.models.get(m);
         let models = self.worst_models().into_iter();
-        let weights: u64 = models.filter_map(rule).map(|r| r.size.0).sum();
+        let weights: u64 = models.filter_map(rule).map(|r| r.weights_size.0).sum();
         let adapters = self.worst_adapters().into_iter();
         let adapters: u64 = adapters
             .filter_map(|(m, _)| rule(m))
@@ -257,7 +257,7 @@
     }
 
     /// Takes in what was seen. What is older than what is known is passed over.
-    pub(crate) fn sight(&mut self, held: Held, from: Sighting, now: Millis) {
+    pub(crate) fn observe(&mut self, held: Held, from: HeldSource, now: Millis) {
         match held.incarnation.against(self.held.incarnation) {
             cmp::Ordering::Less => return,
             cmp::Ordering::Equal => {}
@@ -265,13 +265,13 @@
         }
         let mut next = held;
         match from {
-            Sighting::Reported if next.seq < self.held.seq => return,
-            Sighting::Reported => {
+            HeldSource::Reported if next.seq < self.held.seq => return,
+            HeldSource::Reported => {
                 self.reported = now;
                 self.changes.on_report(&self.held, &next, now);
                 self.proof = (!next.busy).then(|| next.clone());
             }
-            Sighting::Listed => {
+            HeldSource::Listed => {
                 if now.since(self.reported.max(self.last_order)) < LIST_LAG_MS {
                     self.keep_known(&mut next);
                 }
@@ -392,7 +392,7 @@
             let place = (order.model.clone(), adapter.clone());
             match order.kind {
                 OrderKind::Load => {
-                    proof.coming.insert(place);
+                    proof.loading_adapters.insert(place);
                     self.proof = Some(proof);
                 }
                 OrderKind::Unload if done => {
@@ -460,13 +460,13 @@
 
     /// How long a load of the model takes there.
     #[must_use]
-    pub fn load_time(&self, model: &Model, rule: &ModelRule) -> Millis {
+    pub fn load_time(&self, model: &Model, rule: &ModelProfile) -> Millis {
         if self.held.warm.contains(model) {
-            rule.warm
+            rule.warm_time
         } else if self.held.disk.contains(model) {
-            rule.disk
+            rule.disk_time
         } else {
-            rule.store
+            rule.store_time
         }
     }
 }
--- a/crates/fleet/src/row.rs
+++ b/crates/fleet/src/engine_summary.rs
@@ -1,6 +1,6 @@
 //! What a plan needs of one engine, by number, worked out once for each change of the engine.
 
-use crate::numbers::Numbers;
+use crate::model_index::Numbers;
 use crate::{Catalog, Engine, Fleet, OrderKind};
 use shaleline_types::{Megabytes, Millis, Upstream};
 use std::collections::BTreeMap;
--- a/crates/fleet/src/exposure.rs
+++ b/crates/fleet/src/exposure.rs
@@ -15,11 +15,11 @@
 impl Exposure {
     pub(crate) fn new(snapshot: &Snapshot<'_>, churn: &Churn) -> Self {
         let models = &snapshot.models;
-        let longest = models.iter().map(|(_, r)| r.store).max();
+        let longest = models.iter().map(|(_, r)| r.store_time).max();
         let chance = churn.outlook(longest.unwrap_or_default(), snapshot.now);
         let seconds = |time: Millis| time.0 as f64 / 1_000.0;
         let asked = models.iter().zip(&snapshot.asked);
-        let callers = asked.map(|((_, rule), a)| f64::from(a.count) * seconds(rule.store));
+        let callers = asked.map(|((_, rule), a)| f64::from(a.count) * seconds(rule.store_time));
         Self {
             chances: snapshot.places.iter().map(|p| chance(p.name)).collect(),
             callers: callers.collect(),
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,6 +1,6 @@
 //! All engines of one service, as far as is known.
 
-use crate::{Engine, Held, Order, OrderReply, Sighting};
+use crate::{Engine, Held, HeldSource, Order, OrderReply};
 use shaleline_types::{Adapter, DataCentre, Millis, Model, Upstream};
 use std::collections::BTreeMap;
 
@@ -12,22 +12,22 @@
 
 impl Fleet {
     /// Takes in what an engine holds.
-    pub fn sight(
+    pub fn observe(
         &mut self,
         name: &Upstream,
         centre: &DataCentre,
         held: Held,
-        from: Sighting,
+        from: HeldSource,
         now: Millis,
     ) {
         match self.engines.get_mut(name) {
             Some(engine) => {
                 engine.touch();
-                engine.sight(held, from, now);
+                engine.observe(held, from, now);
             }
             None => {
                 let mut engine = Engine::new(centre.clone(), held.clone());
-                engine.sight(held, from, now);
+                engine.observe(held, from, now);
                 self.engines.insert(name.clone(), engine);
             }
         }
@@ -36,12 +36,12 @@
     /// Takes in a report of an engine that is known.
     pub fn report(&mut self, name: &Upstream, held: Held, now: Millis) {
         if let Some(engine) = self.change(name) {
-            engine.sight(held, Sighting::Reported, now);
+            engine.observe(held, HeldSource::Reported, now);
         }
     }
 
     /// Notes that a model or adapter is not there, or soon won't be.
-    pub fn note_absent(
+    pub fn record_absent(
         &mut self,
         name: &Upstream,
         model: &Model,
@@ -67,7 +67,7 @@
     }
 
     /// Notes that an engine refused a connection.
-    pub fn note_unreachable(&mut self, name: &Upstream, now: Millis) {
+    pub fn record_unreachable(&mut self, name: &Upstream, now: Millis) {
         if let Some(engine) = self.change(name) {
             engine.unreachable = Some(now);
             engine.down = true;
@@ -80,14 +80,14 @@
     }
 
     /// Notes that an order leaves.
-    pub fn note_sent(&mut self, order: &Order, now: Millis) {
+    pub fn record_sent(&mut self, order: &Order, now: Millis) {
         if let Some(engine) = self.change_meant(order) {
             engine.note_sent(order, now);
         }
     }
 
     /// Notes the answer to an order.
-    pub fn note_reply(&mut self, order: &Order, reply: OrderReply, now: Millis) {
+    pub fn record_reply(&mut self, order: &Order, reply: OrderReply, now: Millis) {
         let Some(engine) = self.change_meant(order) else {
             return;
         };
@@ -145,7 +145,7 @@
     }
 
     /// Engines that must be asked what they hold before they can be ordered.
-    pub fn unproven(&self) -> impl Iterator<Item = &Upstream> {
+    pub fn unconfirmed(&self) -> impl Iterator<Item = &Upstream> {
         let unproven = |(_, e): &(&Upstream, &Engine)| !e.leaving && !e.is_proven();
         self.engines.iter().filter(unproven).map(|(n, _)| n)
     }
--- a/crates/fleet/src/handover.rs
+++ b/crates/fleet/src/handover.rs
@@ -35,7 +35,7 @@
 
 impl LastOrders {
     /// Notes that an order leaves.
-    pub fn note(&mut self, engine: &Upstream, now: Millis) {
+    pub fn record(&mut self, engine: &Upstream, now: Millis) {
         self.sent.insert(engine.clone(), now);
         self.sent.retain(|_, at| now.since(*at) < FORGET_MS);
     }
@@ -63,7 +63,7 @@
     /// Until when each engine that had an order within `rest` must be left alone by a new
     /// planner.
     #[must_use]
-    pub fn resting(&self, rest: Millis, now: Millis) -> BTreeMap<Upstream, Millis> {
+    pub fn cooldowns(&self, rest: Millis, now: Millis) -> BTreeMap<Upstream, Millis> {
         let until = self.sent.iter().map(|(e, at)| (e, at.plus(rest.0)));
         let resting = until.filter(|(_, until)| *until > now);
         resting.map(|(e, until)| (e.clone(), until)).collect()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -11,46 +11,49 @@
 //!
 //! Nothing here reads a clock or a socket. `docs/PLACEMENT.md` has the ways weighed.
 
-mod absence;
-mod adapt;
-mod board;
+mod adapters;
+mod best_move;
 mod catalog;
 mod changes;
-mod choice;
 mod churn;
-mod claim;
 mod demand;
+mod distribution;
 mod draft;
 mod engine;
+mod engine_summary;
 mod exposure;
 mod fleet;
-mod flow;
 mod handover;
 mod holders;
+mod model_absence;
+mod model_index;
 mod moves;
-mod note;
-mod numbers;
 mod order;
+mod plan_note;
 mod planner;
-mod row;
+mod planner_lease;
 mod services;
 mod shortage;
 mod snapshot;
-mod spread;
 mod unmet;
+mod valuation;
 mod waits;
+mod warmup;
 mod window;
 
-pub use catalog::{Catalog, ModelRule};
-pub use claim::{Claim, ClaimAction, ClaimSettings, ClaimView, Renewal, Vacancy};
+pub use catalog::{Catalog, ModelProfile};
 pub use demand::{Demand, Rate, Rates};
-pub use engine::{Engine, Held, Sighting};
+pub use engine::{Engine, Held, HeldSource};
 pub use fleet::Fleet;
 pub use handover::{Handover, LastOrders};
-pub use note::{PlanNote, WaitReason};
 pub use order::{Order, OrderKind, OrderReply};
+pub use plan_note::{PlanNote, WaitReason};
 pub use planner::{PlanSettings, PlanView, Planner};
+pub use planner_lease::{
+    PlannerGap, PlannerLease, PlannerLeaseAction, PlannerLeaseRenewal, PlannerLeaseSettings,
+    PlannerLeaseView,
+};
 pub use services::ServicePlanners;
-pub use spread::LeadTime;
 pub use unmet::{Unmet, UnmetByKey, UnmetDemand};
+pub use warmup::WarmupPhase;
 pub use window::LoadWindow;
--- a/crates/fleet/src/absence.rs
+++ b/crates/fleet/src/model_absence.rs
@@ -55,7 +55,7 @@
                 if let Some(absence) = self.models.remove(*model) {
                     let away = Millis(now.since(absence.since));
                     let model = (*model).clone();
-                    notes.push(PlanNote::Back { model, away });
+                    notes.push(PlanNote::ModelBack { model, away });
                 }
             } else if !snapshot.is_idle(number) {
                 notes.extend(self.note_asked(draft, number));
@@ -86,7 +86,7 @@
             return None;
         }
         absence.told = now;
-        Some(PlanNote::Away {
+        Some(PlanNote::ModelAway {
             model: model.clone(),
             away: Millis(now.since(absence.since)),
             asked,
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -9,9 +9,9 @@
 //! 536 of 1,000 chats on crowded days are in time, by 30 days played. `docs/DECISIONS.md` has
 //! what was tried.
 
-use crate::board::Board;
-use crate::choice::Move;
+use crate::best_move::Move;
 use crate::draft::Draft;
+use crate::valuation::Board;
 use crate::{OrderKind, PlanNote};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -124,7 +124,7 @@
             victim: chosen.victim.map(|v| snapshot.models[v].0.clone()),
             value: chosen.value,
             asked: (snapshot.asked[model].count, victim_asked),
-            far: chosen.far,
+            from_store: chosen.far,
             loads: self.loads,
         });
     }
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/plan_note.rs
@@ -19,12 +19,12 @@
         /// What is asked for of the model and of the one that makes room, in requests a second.
         asked: (f32, f32),
         /// Whether it comes from the weight store, and how many loads from there may begin.
-        far: bool,
+        from_store: bool,
         /// The loads from the weight store that might begin before this one.
         loads: usize,
     },
     /// Callers ask for a model that no engine serves.
-    Away {
+    ModelAway {
         /// The model.
         model: Model,
         /// For how long.
@@ -43,7 +43,7 @@
         loads: usize,
     },
     /// Callers wait for an adapter that no engine has.
-    Waiting {
+    AdapterAway {
         /// The model.
         model: Model,
         /// The adapter.
@@ -58,7 +58,7 @@
         why: WaitReason,
     },
     /// A model that callers asked for in vain is served again.
-    Back {
+    ModelBack {
         /// The model.
         model: Model,
         /// For how long it was away.
@@ -74,7 +74,7 @@
     /// Each engine that serves its model is at work on an order, or is left alone for a while.
     EnginesBusy,
     /// Their places are taken by what came a moment ago, or is asked for and not to make room.
-    NoPlace,
+    NoSlot,
     /// It is ordered now.
     Ordered,
 }
@@ -84,7 +84,7 @@
         f.write_str(match self {
             Self::ModelAway => "model-away",
             Self::EnginesBusy => "engines-busy",
-            Self::NoPlace => "no-place",
+            Self::NoSlot => "no-place",
             Self::Ordered => "ordered",
         })
     }
@@ -96,7 +96,7 @@
     pub fn engine(&self) -> Option<&Upstream> {
         match self {
             Self::Move { engine, .. } => Some(engine),
-            Self::Away { .. } | Self::Waiting { .. } | Self::Back { .. } => None,
+            Self::ModelAway { .. } | Self::AdapterAway { .. } | Self::ModelBack { .. } => None,
         }
     }
 }
@@ -110,17 +110,17 @@
                 victim,
                 value,
                 asked: (model_asked, victim_asked),
-                far,
+                from_store,
                 loads,
             } => {
                 write!(f, "model={model} upstream={engine} value={value:.1}")?;
-                write!(f, " asked={model_asked:.2} far={far} loads={loads}")?;
+                write!(f, " asked={model_asked:.2} far={from_store} loads={loads}")?;
                 match victim {
                     Some(victim) => write!(f, " victim={victim} victim_asked={victim_asked:.2}"),
                     None => Ok(()),
                 }
             }
-            Self::Away {
+            Self::ModelAway {
                 model,
                 away,
                 asked,
@@ -134,7 +134,7 @@
                 write!(f, " coming={coming} copies={copies} free={free}")?;
                 write!(f, " dropping={dropping} loads={loads}")
             }
-            Self::Waiting {
+            Self::AdapterAway {
                 model,
                 adapter,
                 waited,
@@ -145,7 +145,7 @@
                 write!(f, "model={model}+{adapter} waited_ms={}", waited.0)?;
                 write!(f, " asked={asked:.2} serving={serving} why={why}")
             }
-            Self::Back { model, away } => write!(f, "model={model} away_ms={}", away.0),
+            Self::ModelBack { model, away } => write!(f, "model={model} away_ms={}", away.0),
         }
     }
 }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -7,15 +7,15 @@
 //! `draft` what it has decided; `moves` decides about weights, `adapt` about adapters, `spread`
 //! about the time before the first traffic. `docs/PLACEMENT.md` has what was weighed.
 
-use crate::absence::Absences;
-use crate::board::Board;
 use crate::churn::Churn;
 use crate::draft::Draft;
-use crate::numbers::Numbers;
-use crate::row::Rows;
+use crate::engine_summary::Rows;
+use crate::model_absence::Absences;
+use crate::model_index::Numbers;
 use crate::snapshot::Snapshot;
-use crate::spread::LeadTime;
+use crate::valuation::Board;
 use crate::waits::Waits;
+use crate::warmup::WarmupPhase;
 use crate::{Catalog, Engine, Fleet, LoadWindow, Order, PlanNote, Rates, UnmetByKey};
 use shaleline_types::{Millis, Model, Upstream};
 use std::collections::BTreeMap;
@@ -24,16 +24,16 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlanSettings {
     /// The replicas of an adapter that is asked for.
-    pub adapters: usize,
+    pub adapter_replicas: usize,
     /// How many adapters may be on their way to one engine.
-    pub transit: usize,
+    pub pending_adapters: usize,
 }
 
 impl Default for PlanSettings {
     fn default() -> Self {
         Self {
-            adapters: 2,
-            transit: 3,
+            adapter_replicas: 2,
+            pending_adapters: 3,
         }
     }
 }
@@ -54,13 +54,13 @@
     /// Who orders.
     pub holder: &'a str,
     /// Whether copies may be spread before the first traffic.
-    pub lead: LeadTime,
+    pub warmup: WarmupPhase,
     /// Engines that a planner before ordered a moment ago, and until when they are left
     /// alone.
-    pub resting: &'a BTreeMap<Upstream, Millis>,
+    pub cooldowns: &'a BTreeMap<Upstream, Millis>,
     /// Whether the planner before died a moment ago: this one may too, and nobody plans when callers
     /// come back who were told a time.
-    pub succeeds: bool,
+    pub after_failure: bool,
 }
 
 /// Proposes orders.
@@ -136,8 +136,8 @@
             numbers.get(&intent.model)
         };
         let mut draft = Draft::new(&snapshot, self.settings, intent);
-        draft.loads = window.room(view.catalog.rate, now);
-        draft.most_loads = window.most(view.catalog.rate);
+        draft.loads = window.available(view.catalog.load_rate, now);
+        draft.most_loads = window.capacity(view.catalog.load_rate);
         draft.notes = self.absences.observe(&draft);
         draft.in_vain = self.absences.in_vain(&snapshot);
         draft.waiting = self.waits.observe(view, &draft.adapter_copies, now);
@@ -147,7 +147,7 @@
         let asked = draft.asked_adapters();
         draft.adapt(&board, &asked, 1);
         draft.make_moves(&mut board);
-        draft.adapt(&board, &asked, self.settings.adapters);
+        draft.adapt(&board, &asked, self.settings.adapter_replicas);
         draft.use_lead();
         let waiting = self.waits.tell(&draft);
         self.notes.extend(waiting);
--- a/crates/fleet/src/claim.rs
+++ b/crates/fleet/src/planner_lease.rs
@@ -13,47 +13,47 @@
 
 /// What decides when a claim lapses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClaimSettings {
+pub struct PlannerLeaseSettings {
     /// How often the holder renews.
-    pub renew: Millis,
+    pub renew_interval: Millis,
     /// How long the holder orders after the start of its last renewal.
-    pub valid: Millis,
+    pub validity: Millis,
     /// How long must pass between the orders of two holders.
     pub lease: Millis,
     /// What the successor waits beyond that, for orders on their way.
     pub slack: Millis,
     /// How often the topic is read while nobody seems to hold it.
-    pub read: Millis,
+    pub read_interval: Millis,
 }
 
-impl ClaimSettings {
+impl PlannerLeaseSettings {
     /// Figures for a platform that wants `lease` between two holders. A renewal may fail
     /// once, or the store take some hundred milliseconds, before the claim lapses.
     #[must_use]
     pub fn from_lease(lease: Millis) -> Self {
         Self {
-            renew: Millis(500),
-            valid: Millis(1_200),
+            renew_interval: Millis(500),
+            validity: Millis(1_200),
             lease,
             slack: Millis(400),
-            read: Millis(500),
+            read_interval: Millis(500),
         }
     }
 
     fn wait(&self) -> u64 {
-        self.valid.0 + self.rest().0
+        self.validity.0 + self.cooldown().0
     }
 
     /// How long an engine is left alone between the orders of two holders.
     #[must_use]
-    pub fn rest(&self) -> Millis {
+    pub fn cooldown(&self) -> Millis {
         self.lease.plus(self.slack.0)
     }
 }
 
 /// The end of the topic as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimView {
+pub struct PlannerLeaseView {
     /// Where the topic ends.
     pub end: u64,
     /// Who wrote the newest record, where there is one.
@@ -62,12 +62,12 @@
     pub released: bool,
     /// Whether it says what its writer ordered last, see [`crate::Handover`]: then the
     /// successor waits engine by engine and not before it claims.
-    pub handed: bool,
+    pub has_handover: bool,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClaimAction {
+pub enum PlannerLeaseAction {
     /// Read the newest record and the end of the topic.
     Read,
     /// Append a claim or a renewal on condition that the topic ends there.
@@ -97,8 +97,8 @@
 
 /// One daemon's part in the claim.
 #[derive(Debug)]
-pub struct Claim {
-    settings: ClaimSettings,
+pub struct PlannerLease {
+    settings: PlannerLeaseSettings,
     me: String,
     state: State,
     /// The last renewal that was heard of by other means than the topic, by the end that the
@@ -114,24 +114,24 @@
 
 /// A time without a holder of the claim, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Vacancy {
+pub struct PlannerGap {
     /// How long no renewal has been heard of.
-    pub lasted: Millis,
+    pub elapsed: Millis,
     /// How long it takes until another daemon may hold the claim.
-    pub left: Millis,
+    pub remaining: Millis,
     /// How many holders died one soon after the other before this one.
-    pub deaths: u64,
+    pub failures: u64,
     /// How long it takes beyond that where as many more die.
-    pub more: Millis,
+    pub extra: Millis,
 }
 
 /// A renewal of the claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Renewal {
+pub struct PlannerLeaseRenewal {
     /// Where the topic ended after it.
     pub end: u64,
     /// When it began, by this daemon's clock.
-    pub began: Millis,
+    pub started: Millis,
 }
 
 /// The topic is read once no renewal that was heard of began within so many milliseconds.
@@ -147,10 +147,10 @@
 /// No more deaths in a row are counted: few callers wait longer.
 const MOST_DEATHS: u64 = 2;
 
-impl Claim {
+impl PlannerLease {
     /// A claim of a daemon whose name in this life is `me`.
     #[must_use]
-    pub fn new(settings: ClaimSettings, me: String) -> Self {
+    pub fn new(settings: PlannerLeaseSettings, me: String) -> Self {
         Self {
             settings,
             me,
@@ -169,15 +169,15 @@
         match self.state {
             State::Holding {
                 fence, valid_from, ..
-            } if now.since(valid_from) < self.settings.valid.0 => Some(fence),
+            } if now.since(valid_from) < self.settings.validity.0 => Some(fence),
             _ => None,
         }
     }
 
     /// How long an engine is left alone between the orders of two holders.
     #[must_use]
-    pub fn rest(&self) -> Millis {
-        self.settings.rest()
+    pub fn cooldown(&self) -> Millis {
+        self.settings.cooldown()
     }
 
     /// Whether this daemon holds the claim, valid or not.
@@ -188,7 +188,7 @@
 
     /// Notes that a renewal was heard of, after which the topic ended at `end`, and which began at `began`
     /// or before. A newer one spares reading the topic; one that was heard of before proves nothing.
-    pub fn heard(&mut self, end: u64, began: Millis) {
+    pub fn on_renewal(&mut self, end: u64, began: Millis) {
         if self.heard.is_some_and(|(known, _)| end <= known) {
             return;
         }
@@ -221,13 +221,13 @@
 
     /// This daemon's last renewal, to be told to the others.
     #[must_use]
-    pub fn renewed(&self) -> Option<Renewal> {
+    pub fn renewal(&self) -> Option<PlannerLeaseRenewal> {
         match self.state {
             State::Holding {
                 end, valid_from, ..
-            } => Some(Renewal {
+            } => Some(PlannerLeaseRenewal {
                 end,
-                began: valid_from,
+                started: valid_from,
             }),
             _ => None,
         }
@@ -236,22 +236,22 @@
     /// The time without a holder, where none is heard of; none where one is, or where nothing was ever
     /// heard.
     #[must_use]
-    pub fn vacancy(&self, now: Millis) -> Option<Vacancy> {
+    pub fn gap(&self, now: Millis) -> Option<PlannerGap> {
         let (_, at) = self.heard.filter(|_| self.fence(now).is_none())?;
         let lasted = now.since(at);
         // A successor reads the topic's end now and then.
         let left = self.settings.wait().saturating_sub(lasted);
-        let deaths = self.deaths_before(at, now);
-        (lasted >= MISSED_MS).then_some(Vacancy {
-            lasted: Millis(lasted),
-            left: Millis(left.max(self.settings.read.0)),
-            deaths,
-            more: Millis(deaths * self.settings.wait()),
+        let failures = self.deaths_before(at, now);
+        (lasted >= MISSED_MS).then_some(PlannerGap {
+            elapsed: Millis(lasted),
+            remaining: Millis(left.max(self.settings.read_interval.0)),
+            failures,
+            extra: Millis(failures * self.settings.wait()),
         })
     }
 
     /// Notes that the holder said it gives the claim up: the topic is read at once.
-    pub fn on_release_heard(&mut self) {
+    pub fn on_release(&mut self) {
         if !self.is_holder() {
             self.recheck = true;
         }
@@ -264,33 +264,33 @@
     }
 
     /// What to do now, if anything. Each action is answered by one of the `on_` calls.
-    pub fn tick(&mut self, now: Millis) -> Option<ClaimAction> {
+    pub fn tick(&mut self, now: Millis) -> Option<PlannerLeaseAction> {
         if self.busy {
             return None;
         }
         let due = |every: u64, last: Option<Millis>| last.is_none_or(|l| now.since(l) >= every);
         let action = match self.state {
-            _ if self.recheck => Some(ClaimAction::Read),
+            _ if self.recheck => Some(PlannerLeaseAction::Read),
             State::Watching => {
                 let silent = due(SILENT_MS, self.heard.map(|(_, at)| at));
-                (silent && due(self.settings.read.0, self.acted)).then_some(ClaimAction::Read)
+                (silent && due(self.settings.read_interval.0, self.acted))
+                    .then_some(PlannerLeaseAction::Read)
             }
             State::Waiting { end, since, wait } if now.since(since) >= wait => {
                 self.state = State::Claiming { end, began: now };
-                Some(ClaimAction::Append { end, fence: None })
+                Some(PlannerLeaseAction::Append { end, fence: None })
             }
             State::Waiting { .. } => {
-                due(self.settings.read.0, self.acted).then_some(ClaimAction::Read)
+                due(self.settings.read_interval.0, self.acted).then_some(PlannerLeaseAction::Read)
             }
             State::Claiming { .. } => {
-                due(self.settings.read.0, self.acted).then_some(ClaimAction::Read)
+                due(self.settings.read_interval.0, self.acted).then_some(PlannerLeaseAction::Read)
             }
-            State::Holding { end, fence, .. } => {
-                due(self.settings.renew.0, self.acted).then_some(ClaimAction::Append {
+            State::Holding { end, fence, .. } => due(self.settings.renew_interval.0, self.acted)
+                .then_some(PlannerLeaseAction::Append {
                     end,
                     fence: Some(fence),
-                })
-            }
+                }),
         };
         if action.is_some() {
             self.busy = true;
@@ -300,7 +300,7 @@
     }
 
     /// The topic was read.
-    pub fn on_read(&mut self, view: &ClaimView, now: Millis) {
+    pub fn on_read(&mut self, view: &PlannerLeaseView, now: Millis) {
         self.busy = false;
         self.recheck = false;
         let mine = view.holder.as_deref() == Some(self.me.as_str()) && !view.released;
@@ -327,8 +327,8 @@
                 let since = heard.map_or(now, |(_, at)| at);
                 let wait = match (&view.holder, view.released) {
                     (None, _) => 0,
-                    (_, true) if view.handed => 0,
-                    (_, true) => self.settings.rest().0,
+                    (_, true) if view.has_handover => 0,
+                    (_, true) => self.settings.cooldown().0,
                     _ => self.settings.wait(),
                 };
                 self.state = State::Waiting {
@@ -367,7 +367,7 @@
 
     /// An append found the topic's end elsewhere: somebody appended, maybe this daemon
     /// itself by a call that got no answer. The topic is read before anything else.
-    pub fn on_moved(&mut self) {
+    pub fn on_conflict(&mut self) {
         self.busy = false;
         self.recheck = true;
         if !self.is_holder() {
--- a/crates/fleet/src/shortage.rs
+++ b/crates/fleet/src/shortage.rs
@@ -23,7 +23,7 @@
         }
         Self {
             beyond: rates.into_iter().map(beyond).collect(),
-            places: snapshot.catalog.places,
+            places: snapshot.catalog.adapter_slots,
         }
     }
 
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! What one plan looks at: engines and models by number, and who holds what.
 
-use crate::numbers::Numbers;
-use crate::row::{Row, Rows};
-use crate::{Catalog, Engine, ModelRule, PlanView, Rate};
+use crate::engine_summary::{Row, Rows};
+use crate::model_index::Numbers;
+use crate::{Catalog, Engine, ModelProfile, PlanView, Rate};
 use shaleline_types::{Millis, Model, Upstream};
 
 /// A model with less work a second than this, in milliseconds, is idle.
@@ -24,7 +24,7 @@
     pub(crate) view: &'a PlanView<'a>,
     pub(crate) catalog: &'a Catalog,
     pub(crate) numbers: &'a Numbers,
-    pub(crate) models: Vec<(&'a Model, &'a ModelRule)>,
+    pub(crate) models: Vec<(&'a Model, &'a ModelProfile)>,
     pub(crate) places: Vec<Place<'a>>,
     /// What is asked for of each model, adapters together.
     pub(crate) asked: Vec<Rate>,
@@ -48,7 +48,7 @@
     ) -> Self {
         let (catalog, fleet) = (view.catalog, view.fleet);
         let rest = |name: &Upstream| {
-            let until = view.resting.get(name);
+            let until = view.cooldowns.get(name);
             Millis(until.map_or(0, |u| u.since(now)))
         };
         let engines = fleet.iter().zip(rows.iter());
@@ -98,7 +98,7 @@
         }
         for ((model, _), unmet) in self.view.unmet {
             if let Some(number) = self.numbers.get(model) {
-                self.unmet[number] += unmet.tries;
+                self.unmet[number] += unmet.attempts;
             }
         }
     }
--- a/crates/fleet/src/unmet.rs
+++ b/crates/fleet/src/unmet.rs
@@ -23,27 +23,27 @@
     /// The time since the first of them, in milliseconds.
     pub waited: u32,
     /// The time since the last, in milliseconds.
-    pub last: u32,
+    pub last_age: u32,
     /// Their attempts; none where one was served since and others are told to come back.
-    pub tries: u32,
+    pub attempts: u32,
     /// The time until the first of those that were told to comes back, in milliseconds; 0 where all are
     /// back.
-    pub next: u32,
+    pub next_retry: u32,
     /// The same for the last of them.
-    pub back: u32,
+    pub last_retry: u32,
 }
 
 impl Unmet {
     /// Adds what was asked for in vain elsewhere.
     pub fn add(&mut self, other: Self) {
         self.waited = self.waited.max(other.waited);
-        self.last = self.last.min(other.last);
-        self.tries = self.tries.saturating_add(other.tries);
-        self.next = match (self.next, other.next) {
+        self.last_age = self.last_age.min(other.last_age);
+        self.attempts = self.attempts.saturating_add(other.attempts);
+        self.next_retry = match (self.next_retry, other.next_retry) {
             (0, next) | (next, 0) => next,
             (a, b) => a.min(b),
         };
-        self.back = self.back.max(other.back);
+        self.last_retry = self.last_retry.max(other.last_retry);
     }
 
     /// The same as of `age` milliseconds later: what is passed on has grown old meanwhile.
@@ -51,10 +51,10 @@
     pub fn aged(self, age: u32) -> Self {
         Self {
             waited: self.waited.saturating_add(age),
-            last: self.last.saturating_add(age),
-            tries: self.tries,
-            next: self.next.saturating_sub(age),
-            back: self.back.saturating_sub(age),
+            last_age: self.last_age.saturating_add(age),
+            attempts: self.attempts,
+            next_retry: self.next_retry.saturating_sub(age),
+            last_retry: self.last_retry.saturating_sub(age),
         }
     }
 }
@@ -100,7 +100,7 @@
 impl UnmetDemand {
     /// Notes that a caller went away empty-handed, as no engine served what it asked for, and after which
     /// time it was told to come back.
-    pub fn note(&mut self, model: &Model, adapter: Option<&Adapter>, retry: Millis, now: Millis) {
+    pub fn record(&mut self, model: &Model, adapter: Option<&Adapter>, retry: Millis, now: Millis) {
         let key = (model.clone(), adapter.cloned());
         let vain = self.keys.entry(key).or_insert(Vain {
             first: now,
@@ -138,10 +138,10 @@
         let age = |at: Millis| millis(now.since(at));
         let unmet = |v: &Vain| Unmet {
             waited: age(v.first),
-            last: age(v.last),
-            tries: v.tries,
-            next: millis(v.backs(now).next().unwrap_or(0)),
-            back: millis(v.backs(now).next_back().unwrap_or(0)),
+            last_age: age(v.last),
+            attempts: v.tries,
+            next_retry: millis(v.backs(now).next().unwrap_or(0)),
+            last_retry: millis(v.backs(now).next_back().unwrap_or(0)),
         };
         let told = all.into_iter();
         told.map(|((m, a), v)| (m, a.as_ref(), unmet(v))).collect()
--- a/crates/fleet/src/board.rs
+++ b/crates/fleet/src/valuation.rs
@@ -1,12 +1,12 @@
 //! What a move of a model is worth, in requests that callers gain or lose.
 
-use crate::choice::{Candidate, Move};
+use crate::best_move::{Candidate, Move};
 use crate::churn::Churn;
+use crate::distribution::Flow;
 use crate::draft::Draft;
+use crate::engine_summary::CopyKind;
 use crate::exposure::Exposure;
-use crate::flow::Flow;
 use crate::holders::Holders;
-use crate::row::CopyKind;
 use crate::shortage::Shortage;
 use crate::snapshot::Snapshot;
 use crate::Rate;
@@ -192,9 +192,9 @@
     pub(crate) fn load_time(&self, model: usize, engine: usize) -> Millis {
         let rule = self.snapshot.models[model].1;
         match self.snapshot.places[engine].row.copy(model) {
-            Some(CopyKind::Warm) => rule.warm,
-            Some(CopyKind::Disk) => rule.disk,
-            None => rule.store,
+            Some(CopyKind::Warm) => rule.warm_time,
+            Some(CopyKind::Disk) => rule.disk_time,
+            None => rule.store_time,
         }
     }
 
--- a/crates/fleet/src/waits.rs
+++ b/crates/fleet/src/waits.rs
@@ -1,6 +1,6 @@
 //! How long callers have waited for what no engine holds, as a planner sees it.
 
-use crate::adapt::AdapterCopies;
+use crate::adapters::AdapterCopies;
 use crate::draft::Draft;
 use crate::{Order, PlanNote, PlanView, Unmet, WaitReason};
 use shaleline_types::{Adapter, Millis, Model};
@@ -106,7 +106,7 @@
             known.note_backs(unmet.copied(), now);
             if held {
                 known.note_held(now);
-                if now < known.keep || (view.succeeds && known.is_soon(now)) {
+                if now < known.keep || (view.after_failure && known.is_soon(now)) {
                     waiting.kept.insert((&key.0, adapter));
                 }
             }
@@ -119,7 +119,7 @@
             }
             if !held {
                 let refused = unmet.is_some_and(|u| known.concerns(*u, now));
-                let soon = view.succeeds && known.is_soon(now);
+                let soon = view.after_failure && known.is_soon(now);
                 let told = unmet.copied().filter(|_| refused || due || soon);
                 let waited = known.waited(told, rated, now);
                 let wait = |waited| Wait {
@@ -165,11 +165,11 @@
     } else if serving.is_empty() {
         WaitReason::ModelAway
     } else if serving.iter().any(ready) {
-        WaitReason::NoPlace
+        WaitReason::NoSlot
     } else {
         WaitReason::EnginesBusy
     };
-    Some(PlanNote::Waiting {
+    Some(PlanNote::AdapterAway {
         model: key.0.clone(),
         adapter: adapter.clone(),
         waited: Millis(wait.waited),
@@ -182,13 +182,13 @@
 impl Known {
     /// Whether somebody asked in vain after it was held last.
     fn concerns(&self, unmet: Unmet, now: Millis) -> bool {
-        unmet.tries > 0 && now.since(self.held) > u64::from(unmet.last)
+        unmet.attempts > 0 && now.since(self.held) > u64::from(unmet.last_age)
     }
 
     /// Notes when callers come back. What is told again of one differs by what datagrams take.
     fn note_backs(&mut self, unmet: Option<Unmet>, now: Millis) {
         self.backs.retain(|at| now.since(*at) < LATE_MS);
-        let told = unmet.into_iter().flat_map(|u| [u.next, u.back]);
+        let told = unmet.into_iter().flat_map(|u| [u.next_retry, u.last_retry]);
         for at in told.filter(|t| *t > 0).map(|t| now.plus(u64::from(t))) {
             let is_same = |known: &Millis| known.since(at).max(at.since(*known)) < SAME_MS;
             if !self.backs.iter().any(is_same) {
@@ -225,7 +225,7 @@
         let first = first.max(self.held);
         self.first = Some(first);
         let waited = now.since(first);
-        self.pause = unmet.map_or(0, |u| waited / u64::from(u.tries.max(1)));
+        self.pause = unmet.map_or(0, |u| waited / u64::from(u.attempts.max(1)));
         Some(waited)
     }
 }
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/warmup.rs
@@ -4,14 +4,14 @@
 //! nine from the weight store, and does not count against the store's rate. So engines load
 //! one model more while nobody asks for anything, and then get back what they held.
 
-use crate::choice::COPIES;
+use crate::best_move::COPIES;
 use crate::draft::Draft;
 use crate::{Engine, OrderKind};
 use shaleline_types::Model;
 
 /// How far the time before the first traffic has gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum LeadTime {
+pub enum WarmupPhase {
     /// Nobody has asked for anything, and a load from the weight store ends in time.
     Spread,
     /// Too late to begin loads; engines get back what they held.
@@ -27,13 +27,13 @@
 impl<'a> Draft<'a> {
     /// Does what may be done before the first traffic.
     pub(crate) fn use_lead(&mut self) {
-        match self.snapshot.view.lead {
-            LeadTime::Spread => {
+        match self.snapshot.view.warmup {
+            WarmupPhase::Spread => {
                 self.restore();
                 self.spread();
             }
-            LeadTime::Restore => self.restore(),
-            LeadTime::Over => {}
+            WarmupPhase::Restore => self.restore(),
+            WarmupPhase::Over => {}
         }
     }
 
@@ -99,7 +99,7 @@
         let places: Vec<usize> = self.free_places().collect();
         for place in places {
             let engine = snapshot.places[place].engine;
-            if snapshot.view.lead == LeadTime::Spread && !engine.has_more_copies() {
+            if snapshot.view.warmup == WarmupPhase::Spread && !engine.has_more_copies() {
                 continue;
             }
             let lacks = engine.first.iter().find(|m| !engine.will_serve(m));
--- a/crates/fleet/src/window.rs
+++ b/crates/fleet/src/window.rs
@@ -68,12 +68,12 @@
     }
 
     /// Notes a load that may begin now.
-    pub fn note(&mut self, now: Millis) {
+    pub fn record(&mut self, now: Millis) {
         self.begun.push_back(now);
     }
 
     /// How many loads may begin now at `rate` a second.
-    pub fn room(&mut self, rate: f64, now: Millis) -> usize {
+    pub fn available(&mut self, rate: f64, now: Millis) -> usize {
         let length = self.span().0;
         while self.begun.front().is_some_and(|t| now.since(*t) > length) {
             self.begun.pop_front();
@@ -81,11 +81,11 @@
         if now < self.blocked {
             return 0;
         }
-        self.most(rate).saturating_sub(self.begun.len())
+        self.capacity(rate).saturating_sub(self.begun.len())
     }
 
     /// How many loads may begin in a window at `rate` a second.
-    pub(crate) fn most(&self, rate: f64) -> usize {
+    pub(crate) fn capacity(&self, rate: f64) -> usize {
         let most = rate * (self.length.0 as f64 / 1_000.0) * self.over + EXTRA;
         (most as usize).saturating_sub(RESERVE)
     }
--- a/crates/fleet/tests/adapters.rs
+++ b/crates/fleet/tests/adapters.rs
@@ -6,8 +6,8 @@
 mod shared;
 
 use shaleline_fleet::{
-    Catalog, Fleet, Held, LeadTime, LoadWindow, PlanSettings, PlanView, Planner, Rate, Rates,
-    Sighting, Unmet, UnmetByKey,
+    Catalog, Fleet, Held, HeldSource, LoadWindow, PlanSettings, PlanView, Planner, Rate, Rates,
+    Unmet, UnmetByKey, WarmupPhase,
 };
 use shaleline_testkit::cases;
 use shaleline_types::{Adapter, DataCentre, Megabytes, Millis, Model, Upstream};
@@ -48,7 +48,7 @@
         models: [(model("m"), [].into())].into(),
         ..Held::default()
     };
-    fleet.sight(&engine(), &centre, empty, Sighting::Listed, NOW);
+    fleet.observe(&engine(), &centre, empty, HeldSource::Listed, NOW);
     let held = Held {
         models: [(model("m"), [adapter(name)].into())].into(),
         seq: 1,
@@ -59,13 +59,13 @@
 }
 
 /// Callers who have asked in vain for so long; the last of them comes back after `back`.
-fn unmet(waited: u32, back: u32) -> Unmet {
+fn unmet(waited: u32, last_retry: u32) -> Unmet {
     Unmet {
         waited,
-        last: 300,
-        tries: 2,
-        next: back,
-        back,
+        last_age: 300,
+        attempts: 2,
+        next_retry: last_retry,
+        last_retry,
     }
 }
 
@@ -95,19 +95,19 @@
     planner: &mut Planner,
     fleet: &Fleet,
     (rates, unmet): (&Rates, &UnmetByKey),
-    succeeds: bool,
+    after_failure: bool,
     now: Millis,
 ) -> Vec<String> {
     let view = PlanView {
-        lead: LeadTime::Over,
+        warmup: WarmupPhase::Over,
         catalog: &catalog(),
         fleet,
         rates,
         unmet,
         fence: 7,
         holder: "me",
-        resting: &BTreeMap::new(),
-        succeeds,
+        cooldowns: &BTreeMap::new(),
+        after_failure,
     };
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     let orders = planner.plan(&view, &mut window, now);
@@ -133,10 +133,10 @@
     let asked_at = NOW;
     let told = |now: Millis| Unmet {
         waited: now.since(asked_at) as u32,
-        last: now.since(asked_at) as u32,
-        tries: 1,
-        next: 8_000 - now.since(asked_at) as u32,
-        back: 8_000 - now.since(asked_at) as u32,
+        last_age: now.since(asked_at) as u32,
+        attempts: 1,
+        next_retry: 8_000 - now.since(asked_at) as u32,
+        last_retry: 8_000 - now.since(asked_at) as u32,
     };
     let (nobody, rates) = (Rates::new(), Rates::from([(key("held"), RATE)]));
     let came = asked_at.plus(1_000);
@@ -160,9 +160,9 @@
 fn a_planner_that_succeeds_a_dead_one_makes_room_ahead() {
     let unmet = UnmetByKey::from([(key("wanted"), unmet(1_000, 3_000))]);
     let rates = Rates::from([(key("held"), RATE), (key("wanted"), RATE)]);
-    let ordered = |succeeds| {
+    let ordered = |after_failure| {
         let mut planner = Planner::new(PlanSettings::default());
-        plan_with(&mut planner, &fleet(), (&rates, &unmet), succeeds, NOW)
+        plan_with(&mut planner, &fleet(), (&rates, &unmet), after_failure, NOW)
     };
     assert_eq!(ordered(true), makes_room());
     assert_eq!(ordered(false), stays());
@@ -173,7 +173,7 @@
 fn the_first_of_two_callers_is_awaited_too() {
     let mut planner = Planner::new(PlanSettings::default());
     let first = Unmet {
-        next: 250,
+        next_retry: 250,
         ..unmet(1_000, 4_000)
     };
     let asked = UnmetByKey::from([(key("wanted"), first)]);
--- a/crates/fleet/tests/backlog.rs
+++ b/crates/fleet/tests/backlog.rs
@@ -8,8 +8,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_fleet::{
-    Catalog, Demand, Fleet, Held, LeadTime, LoadWindow, Order, OrderKind, OrderReply, PlanSettings,
-    PlanView, Planner, Sighting, UnmetDemand,
+    Catalog, Demand, Fleet, Held, HeldSource, LoadWindow, Order, OrderKind, OrderReply,
+    PlanSettings, PlanView, Planner, UnmetDemand, WarmupPhase,
 };
 use shaleline_testkit::cases;
 use shaleline_types::{Adapter, DataCentre, Megabytes, Millis, Upstream};
@@ -90,7 +90,7 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let catalog = Catalog {
             memory: Megabytes(80_000),
-            places: PLACES,
+            adapter_slots: PLACES,
             ..shared::catalog(&["m"], &names)
         };
         let held = Held {
@@ -100,7 +100,13 @@
         let mut fleet = Fleet::default();
         let centre = DataCentre::from_text("dc1").expect("a valid name");
         let listed = held.clone();
-        fleet.sight(&engine(), &centre, listed, Sighting::Listed, Millis(START));
+        fleet.observe(
+            &engine(),
+            &centre,
+            listed,
+            HeldSource::Listed,
+            Millis(START),
+        );
         Self {
             now: START,
             rng: SmallRng::seed_from_u64(seed),
@@ -156,14 +162,14 @@
             self.unmet.on_served(&m, Some(&a), now);
         }
         if !came_back {
-            self.demand.note(&m, Some(&a), WORK, now);
+            self.demand.record(&m, Some(&a), WORK, now);
         }
         if !served {
             let told = match planned {
                 true => ADAPTER_MS,
                 false => START + VACANT - self.now + ADAPTER_MS + self.rng.random_range(0..SPREAD),
             };
-            self.unmet.note(&m, Some(&a), Millis(told), now);
+            self.unmet.record(&m, Some(&a), Millis(told), now);
             if !came_back {
                 self.back.insert((self.now + told, number));
             }
@@ -178,15 +184,15 @@
         let told = self.unmet.longest(64, heard).into_iter();
         let unmet = told.map(|(m, a, u)| ((m.clone(), a.cloned()), u)).collect();
         let view = PlanView {
-            lead: LeadTime::Over,
+            warmup: WarmupPhase::Over,
             catalog: &self.catalog,
             fleet: &self.fleet,
             rates: &rates,
             unmet: &unmet,
             fence: 7,
             holder: "me",
-            resting: &BTreeMap::new(),
-            succeeds: false,
+            cooldowns: &BTreeMap::new(),
+            after_failure: false,
         };
         let mut window = LoadWindow::new(Millis(5_000), 1.1);
         let orders = self.planner.plan(&view, &mut window, now);
@@ -204,7 +210,7 @@
     /// The engine carries an order out at once and reports what it holds.
     fn carry_out(&mut self, order: &Order) {
         let now = Millis(self.now);
-        self.fleet.note_sent(order, now);
+        self.fleet.record_sent(order, now);
         let adapter = order.adapter.clone().expect("no order about weights");
         let nobody = !self.is_awaited(&adapter);
         let all = self.held.models.get_mut(&order.model).expect("the model");
@@ -228,7 +234,7 @@
             }
         };
         self.held.seq += 1;
-        self.fleet.note_reply(order, reply, now);
+        self.fleet.record_reply(order, reply, now);
         self.fleet.report(&engine(), self.held.clone(), now);
     }
 }
--- a/crates/fleet/tests/entries.rs
+++ b/crates/fleet/tests/entries.rs
@@ -1,6 +1,6 @@
 //! An entry in the platform's list is older than what is known of its engine.
 
-use shaleline_fleet::{Fleet, Held, Order, OrderKind, OrderReply, Sighting};
+use shaleline_fleet::{Fleet, Held, HeldSource, Order, OrderKind, OrderReply};
 use shaleline_testkit::cases;
 use shaleline_types::{Adapter, DataCentre, Incarnation, Millis, Model, Upstream};
 use std::collections::BTreeSet;
@@ -38,7 +38,7 @@
 
 fn list(fleet: &mut Fleet, held: Held, now: Millis) {
     let centre = DataCentre::from_text("dc1").expect("a valid name");
-    fleet.sight(&engine(), &centre, held, Sighting::Listed, now);
+    fleet.observe(&engine(), &centre, held, HeldSource::Listed, now);
 }
 
 /// An engine that has reported the model with its adapter.
@@ -64,8 +64,8 @@
 
 fn is_dropped_by_order(fleet: &mut Fleet) {
     let order = drop_of(Some(adapter()));
-    fleet.note_sent(&order, NOW);
-    fleet.note_reply(&order, OrderReply::Done, NOW);
+    fleet.record_sent(&order, NOW);
+    fleet.record_reply(&order, OrderReply::Done, NOW);
 }
 
 fn is_no_longer_reported(fleet: &mut Fleet) {
@@ -73,13 +73,13 @@
 }
 
 fn is_said_to_be_absent(fleet: &mut Fleet) {
-    fleet.note_absent(&engine(), &model(), Some(&adapter()), NOW);
+    fleet.record_absent(&engine(), &model(), Some(&adapter()), NOW);
 }
 
 fn is_refused_to_drop(fleet: &mut Fleet) {
     let order = drop_of(Some(adapter()));
-    fleet.note_sent(&order, NOW);
-    fleet.note_reply(&order, OrderReply::Conflict, NOW);
+    fleet.record_sent(&order, NOW);
+    fleet.record_reply(&order, OrderReply::Conflict, NOW);
     fleet.report(&engine(), held(3, true), NOW);
 }
 
--- a/crates/fleet/tests/handover.rs
+++ b/crates/fleet/tests/handover.rs
@@ -20,7 +20,7 @@
     let mut now = NOW;
     let mut orders: Vec<(Upstream, u8, Millis)> = Vec::new();
     let mut last = LastOrders::default();
-    let mut resting = last.resting(REST, now);
+    let mut resting = last.cooldowns(REST, now);
     let mut planner = 0;
     for (who, number, pause) in steps {
         now = now.plus(u64::from(pause) % 2_000);
@@ -30,13 +30,13 @@
             planner = who % 3;
             last = LastOrders::default();
             last.inherit(&handover, now);
-            resting = last.resting(REST, now);
+            resting = last.cooldowns(REST, now);
         }
         let engine = engine(number % 4);
         if resting.get(&engine).is_some_and(|until| *until > now) {
             continue;
         }
-        last.note(&engine, now);
+        last.record(&engine, now);
         orders.push((engine, planner, now));
     }
     orders.iter().enumerate().all(|(i, (engine, planner, at))| {
@@ -57,10 +57,10 @@
 #[test]
 fn only_engines_that_were_ordered_lately_rest() {
     let mut last = LastOrders::default();
-    last.note(&engine(1), NOW);
-    last.note(&engine(2), NOW.plus(3_000));
+    last.record(&engine(1), NOW);
+    last.record(&engine(2), NOW.plus(3_000));
     let now = NOW.plus(4_000);
-    let resting = last.resting(REST, now);
+    let resting = last.cooldowns(REST, now);
     let names: Vec<&Upstream> = resting.keys().collect();
     assert_eq!(names, [&engine(2)]);
 }
@@ -68,14 +68,14 @@
 #[test]
 fn a_successor_has_the_rest_of_the_window() {
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
-    let whole = window.room(1.4, NOW);
-    window.note(NOW);
-    window.note(NOW);
+    let whole = window.available(1.4, NOW);
+    window.record(NOW);
+    window.record(NOW);
     let handover = LastOrders::default().to_handover(Some(&window), NOW.plus(1_000));
     let now = NOW.plus(1_100);
     let mut next = LoadWindow::new(Millis(5_000), 1.1).resume(&handover, now);
-    assert_eq!(next.room(1.4, now), whole - 2);
-    assert_eq!(next.room(1.4, now.plus(6_000)), whole);
+    assert_eq!(next.available(1.4, now), whole - 2);
+    assert_eq!(next.available(1.4, now.plus(6_000)), whole);
 }
 
 #[test]
@@ -85,14 +85,14 @@
     let handover = LastOrders::default().to_handover(Some(&window), NOW);
     assert_eq!(handover.blocked, 2_000);
     let mut next = LoadWindow::new(Millis(5_000), 1.1).resume(&handover, NOW);
-    assert_eq!(next.room(1.4, NOW.plus(1_900)), 0);
-    assert!(next.room(1.4, NOW.plus(2_000)) > 0);
+    assert_eq!(next.available(1.4, NOW.plus(1_900)), 0);
+    assert!(next.available(1.4, NOW.plus(2_000)) > 0);
 }
 
 #[test]
 fn a_handover_survives_the_store() {
     let mut last = LastOrders::default();
-    last.note(&engine(1), NOW);
+    last.record(&engine(1), NOW);
     let handover = last.to_handover(None, NOW.plus(70));
     let text = serde_json::to_string(&handover).expect("names and numbers");
     let read: Handover = serde_json::from_str(&text).expect("what was written");
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -3,8 +3,8 @@
 mod shared;
 
 use shaleline_fleet::{
-    Catalog, Fleet, Held, LeadTime, LoadWindow, Order, OrderKind, OrderReply, PlanSettings,
-    PlanView, Planner, Rate, Rates, Sighting, UnmetByKey,
+    Catalog, Fleet, Held, HeldSource, LoadWindow, Order, OrderKind, OrderReply, PlanSettings,
+    PlanView, Planner, Rate, Rates, UnmetByKey, WarmupPhase,
 };
 use shaleline_testkit::cases;
 use shaleline_types::{DataCentre, Megabytes, Millis, Upstream};
@@ -50,27 +50,27 @@
 }
 
 fn plan(catalog: &Catalog, fleet: &Fleet, rates: &Rates) -> Vec<Order> {
-    plan_in(LeadTime::Over, catalog, fleet, rates)
+    plan_in(WarmupPhase::Over, catalog, fleet, rates)
 }
 
-fn plan_in(lead: LeadTime, catalog: &Catalog, fleet: &Fleet, rates: &Rates) -> Vec<Order> {
+fn plan_in(warmup: WarmupPhase, catalog: &Catalog, fleet: &Fleet, rates: &Rates) -> Vec<Order> {
     let view = PlanView {
-        lead,
+        warmup,
         catalog,
         fleet,
         rates,
         unmet: &UnmetByKey::new(),
         fence: 7,
         holder: "me",
-        resting: &BTreeMap::new(),
-        succeeds: false,
+        cooldowns: &BTreeMap::new(),
+        after_failure: false,
     };
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     Planner::new(PlanSettings::default()).plan(&view, &mut window, NOW)
 }
 
 fn sight(fleet: &mut Fleet, name: &str, held: Held) {
-    fleet.sight(&engine(name), &centre(), held, Sighting::Listed, NOW);
+    fleet.observe(&engine(name), &centre(), held, HeldSource::Listed, NOW);
 }
 
 fn words(orders: &[Order]) -> Vec<String> {
@@ -85,8 +85,8 @@
     sight(&mut fleet, "e1", held(&["a"], 0));
     let orders = plan(&catalog, &fleet, &Rates::new());
     let order = orders.first().expect("the model that is nowhere is loaded");
-    fleet.note_sent(order, NOW);
-    fleet.note_reply(order, OrderReply::Accepted, NOW);
+    fleet.record_sent(order, NOW);
+    fleet.record_reply(order, OrderReply::Accepted, NOW);
     after(&mut fleet, order);
     let others = catalog_with_c();
     words(&plan(&others, &fleet, &Rates::new()))
@@ -188,8 +188,8 @@
     let asked = rates(&[("a", Some("a2"), 5.0)]);
     let orders = plan(&catalog, &fleet, &asked);
     assert_eq!(words(&orders), ["unload a+a1 at e1 expecting 0"]);
-    fleet.note_sent(&orders[0], NOW);
-    fleet.note_reply(&orders[0], reply, NOW);
+    fleet.record_sent(&orders[0], NOW);
+    fleet.record_reply(&orders[0], reply, NOW);
     // An old entry, as it is read after the store was away.
     sight(&mut fleet, "e1", held(&["a", "b"], 0));
     words(&plan(&catalog, &fleet, &asked))
@@ -212,22 +212,22 @@
 #[test]
 fn loads_from_the_store_stop_at_its_rate() {
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
-    let room = window.room(1.4, NOW);
+    let room = window.available(1.4, NOW);
     for _ in 0..room {
-        window.note(NOW);
+        window.record(NOW);
     }
     // 1.4 a second over 5 s, a tenth more, and 3: at most 10 may begin.
     assert!(room <= 10, "{room} loads may begin at once");
-    assert_eq!(window.room(1.4, NOW.plus(5_000)), 0);
-    assert_eq!(window.room(1.4, NOW.plus(6_500)), room);
+    assert_eq!(window.available(1.4, NOW.plus(5_000)), 0);
+    assert_eq!(window.available(1.4, NOW.plus(6_500)), room);
 }
 
 #[test]
 fn a_planner_that_took_over_waits_out_the_window() {
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     window.block(NOW.plus(5_000));
-    assert_eq!(window.room(1.4, NOW), 0);
-    assert!(window.room(1.4, NOW.plus(5_000)) > 0);
+    assert_eq!(window.available(1.4, NOW), 0);
+    assert!(window.available(1.4, NOW.plus(5_000)) > 0);
 }
 
 #[test]
@@ -238,8 +238,8 @@
     let asked = rates(&[("a", Some("a1"), 5.0), ("b", Some("a2"), 4.0)]);
     let orders = plan(&catalog, &fleet, &asked);
     assert_eq!(words(&orders), ["load a+a1 at e1 expecting 0"]);
-    fleet.note_sent(&orders[0], NOW);
-    fleet.note_reply(&orders[0], OrderReply::Accepted, NOW);
+    fleet.record_sent(&orders[0], NOW);
+    fleet.record_reply(&orders[0], OrderReply::Accepted, NOW);
     let next = plan(&catalog, &fleet, &asked);
     let loads = next.iter().filter(|o| o.kind == OrderKind::Load);
     assert_eq!(loads.count(), 0, "one place, and it is promised");
@@ -247,7 +247,7 @@
 
 /// What is ordered before the first traffic: `a` is served by all engines, `b` and `c` by
 /// one each.
-fn before_traffic((lead, second): (LeadTime, Held)) -> Vec<String> {
+fn before_traffic((lead, second): (WarmupPhase, Held)) -> Vec<String> {
     let catalog = catalog(&["a", "b", "c"]);
     let mut fleet = Fleet::default();
     sight(&mut fleet, "e1", held(&["a", "b"], 0));
@@ -265,15 +265,15 @@
 }
 
 cases! { before_traffic;
-    room_is_made_for_a_second_copy: (LeadTime::Spread, held(&["a", "c"], 0))
+    room_is_made_for_a_second_copy: (WarmupPhase::Spread, held(&["a", "c"], 0))
         => vec!["unload a at e1 expecting 0".to_owned()],
-    a_second_copy_is_loaded_where_room_was_made: (LeadTime::Spread, held(&["c"], 1))
+    a_second_copy_is_loaded_where_room_was_made: (WarmupPhase::Spread, held(&["c"], 1))
         => vec!["load b at e2 expecting 1".to_owned()],
-    the_copy_makes_room_for_what_was_held: (LeadTime::Restore, with_a_copy(&["b", "c"]))
+    the_copy_makes_room_for_what_was_held: (WarmupPhase::Restore, with_a_copy(&["b", "c"]))
         => vec!["unload b at e2 expecting 2".to_owned()],
-    what_was_held_comes_back: (LeadTime::Restore, with_a_copy(&["c"]))
+    what_was_held_comes_back: (WarmupPhase::Restore, with_a_copy(&["c"]))
         => vec!["load a at e2 expecting 2".to_owned()],
-    nothing_is_done_once_callers_ask: (LeadTime::Over, held(&["a", "c"], 0))
+    nothing_is_done_once_callers_ask: (WarmupPhase::Over, held(&["a", "c"], 0))
         => Vec::<String>::new(),
 }
 
@@ -363,23 +363,23 @@
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     let mut orders = |fleet: &Fleet, now| {
         let view = PlanView {
-            lead: LeadTime::Over,
+            warmup: WarmupPhase::Over,
             catalog: &catalog,
             fleet,
             rates: &asked,
             unmet: &UnmetByKey::new(),
             fence: 7,
             holder: "me",
-            resting: &BTreeMap::new(),
-            succeeds: false,
+            cooldowns: &BTreeMap::new(),
+            after_failure: false,
         };
         planner.plan(&view, &mut window, now)
     };
     let first = orders(&fleet, NOW);
     assert_eq!(first.len(), 1, "{:?}", words(&first));
     assert_eq!(first[0].kind, OrderKind::Unload);
-    fleet.note_sent(&first[0], NOW);
-    fleet.note_reply(&first[0], OrderReply::Accepted, NOW);
+    fleet.record_sent(&first[0], NOW);
+    fleet.record_reply(&first[0], OrderReply::Accepted, NOW);
     let later = orders(&fleet, NOW.plus(250));
     assert_eq!(words(&later), Vec::<String>::new());
 }
@@ -392,23 +392,23 @@
     let mut fleet = Fleet::default();
     sight(&mut fleet, "e1", held(&["a"], 0));
     sight(&mut fleet, "e2", held(&["a"], 0));
-    let ordered = |resting: &BTreeMap<Upstream, Millis>| {
+    let ordered = |cooldowns: &BTreeMap<Upstream, Millis>| {
         let view = PlanView {
-            lead: LeadTime::Over,
+            warmup: WarmupPhase::Over,
             catalog: &catalog,
             fleet: &fleet,
             rates: &Rates::new(),
             unmet: &UnmetByKey::new(),
             fence: 7,
             holder: "me",
-            resting,
-            succeeds: false,
+            cooldowns,
+            after_failure: false,
         };
         let mut window = LoadWindow::new(Millis(5_000), 1.1);
         let mut planner = Planner::new(PlanSettings::default());
         words(&planner.plan(&view, &mut window, NOW))
     };
     assert_eq!(ordered(&BTreeMap::new()), ["load b at e1 expecting 0"]);
-    let resting = BTreeMap::from([(engine("e1"), NOW.plus(3_000))]);
-    assert_eq!(ordered(&resting), ["load b at e2 expecting 0"]);
+    let cooldowns = BTreeMap::from([(engine("e1"), NOW.plus(3_000))]);
+    assert_eq!(ordered(&cooldowns), ["load b at e2 expecting 0"]);
 }
--- a/crates/fleet/tests/claim.rs
+++ b/crates/fleet/tests/planner_lease.rs
@@ -1,7 +1,9 @@
 //! The planner's claim: never two at once, and never without a holder for long.
 
 use quickcheck::{Gen, QuickCheck, TestResult};
-use shaleline_fleet::{Claim, ClaimAction, ClaimSettings, ClaimView, Vacancy};
+use shaleline_fleet::{
+    PlannerGap, PlannerLease, PlannerLeaseAction, PlannerLeaseSettings, PlannerLeaseView,
+};
 use shaleline_testkit::cases;
 use shaleline_types::Millis;
 use std::collections::VecDeque;
@@ -17,12 +19,12 @@
 }
 
 impl Topic {
-    fn view(&self) -> ClaimView {
-        ClaimView {
+    fn view(&self) -> PlannerLeaseView {
+        PlannerLeaseView {
             end: self.end,
             holder: self.holder.clone(),
             released: false,
-            handed: false,
+            has_handover: false,
         }
     }
 
@@ -39,11 +41,11 @@
 /// One daemon, whose clock and calls may be held up.
 struct Daemon {
     name: String,
-    claim: Claim,
+    claim: PlannerLease,
     frozen: u64,
     /// Calls that are under way: when they are carried out, what they do, when they began,
     /// and whether their answer is lost.
-    calls: VecDeque<(u64, ClaimAction, Millis, bool)>,
+    calls: VecDeque<(u64, PlannerLeaseAction, Millis, bool)>,
 }
 
 /// What may go wrong in one step of 50 ms: whose turn it is, and what.
@@ -51,12 +53,12 @@
 
 /// Plays the steps and returns the times at which each daemon could order, by token.
 fn play(steps: &[Step]) -> Vec<(u64, usize, u64)> {
-    let settings = ClaimSettings::from_lease(LEASE);
+    let settings = PlannerLeaseSettings::from_lease(LEASE);
     let mut topic = Topic::default();
     let mut daemons: Vec<Daemon> = (0..3)
         .map(|i| Daemon {
             name: format!("d{i}"),
-            claim: Claim::new(settings, format!("d{i}")),
+            claim: PlannerLease::new(settings, format!("d{i}")),
             frozen: 0,
             calls: VecDeque::new(),
         })
@@ -99,12 +101,12 @@
     let due = daemon.calls.iter().filter(|c| c.0 <= now).count();
     for (_, action, began, lost) in daemon.calls.drain(..due).collect::<Vec<_>>() {
         match action {
-            ClaimAction::Read if lost => daemon.claim.on_failed(),
-            ClaimAction::Read => daemon.claim.on_read(&topic.view(), Millis(now)),
-            ClaimAction::Append { end, .. } => match topic.append(&daemon.name, end) {
+            PlannerLeaseAction::Read if lost => daemon.claim.on_failed(),
+            PlannerLeaseAction::Read => daemon.claim.on_read(&topic.view(), Millis(now)),
+            PlannerLeaseAction::Append { end, .. } => match topic.append(&daemon.name, end) {
                 _ if lost => daemon.claim.on_failed(),
                 Ok(offset) => daemon.claim.on_appended(offset, began),
-                Err(_) => daemon.claim.on_moved(),
+                Err(_) => daemon.claim.on_conflict(),
             },
         }
     }
@@ -132,12 +134,12 @@
 }
 
 /// The topic as it ends after a claim or a renewal.
-fn view(end: u64, holder: Option<&str>) -> ClaimView {
-    ClaimView {
+fn view(end: u64, holder: Option<&str>) -> PlannerLeaseView {
+    PlannerLeaseView {
         end,
         holder: holder.map(str::to_owned),
         released: false,
-        handed: false,
+        has_handover: false,
     }
 }
 
@@ -145,10 +147,10 @@
 /// and counted from the read, while the others counted from the append.
 #[test]
 fn a_claim_found_late_counts_from_its_append() {
-    let mut claim = Claim::new(ClaimSettings::from_lease(LEASE), "me".to_owned());
+    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
     claim.tick(Millis(START));
     claim.on_read(&view(0, None), Millis(START));
-    let append = ClaimAction::Append {
+    let append = PlannerLeaseAction::Append {
         end: 0,
         fence: None,
     };
@@ -176,41 +178,44 @@
 
 #[test]
 fn a_claim_without_an_answer_is_found_by_reading() {
-    let mut claim = Claim::new(ClaimSettings::from_lease(LEASE), "me".to_owned());
-    assert_eq!(claim.tick(Millis(START)), Some(ClaimAction::Read));
+    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
+    assert_eq!(claim.tick(Millis(START)), Some(PlannerLeaseAction::Read));
     claim.on_read(&view(0, None), Millis(START + 5));
-    let append = ClaimAction::Append {
+    let append = PlannerLeaseAction::Append {
         end: 0,
         fence: None,
     };
     assert_eq!(claim.tick(Millis(START + 10)), Some(append));
     claim.on_failed();
-    assert_eq!(claim.tick(Millis(START + 600)), Some(ClaimAction::Read));
+    assert_eq!(
+        claim.tick(Millis(START + 600)),
+        Some(PlannerLeaseAction::Read)
+    );
     claim.on_read(&view(1, Some("me")), Millis(START + 605));
     assert_eq!(claim.fence(Millis(START + 610)), Some(1));
 }
 
 #[test]
 fn a_successor_counts_from_the_last_renewal_that_was_heard_of() {
-    let settings = ClaimSettings::from_lease(LEASE);
-    let mut claim = Claim::new(settings, "me".to_owned());
-    let view = ClaimView {
+    let settings = PlannerLeaseSettings::from_lease(LEASE);
+    let mut claim = PlannerLease::new(settings, "me".to_owned());
+    let view = PlannerLeaseView {
         end: 9,
         holder: Some("other".to_owned()),
         released: false,
-        handed: false,
+        has_handover: false,
     };
-    claim.heard(9, Millis(START));
+    claim.on_renewal(9, Millis(START));
     // The same renewal, told again by somebody whose news is old.
-    claim.heard(9, Millis(START + 1_200));
+    claim.on_renewal(9, Millis(START + 1_200));
     let silent = START + 1_300;
     assert_eq!(claim.tick(Millis(START + 1_200)), None);
-    assert_eq!(claim.tick(Millis(silent)), Some(ClaimAction::Read));
+    assert_eq!(claim.tick(Millis(silent)), Some(PlannerLeaseAction::Read));
     claim.on_read(&view, Millis(silent + 5));
-    let due = settings.valid.0 + settings.lease.0 + settings.slack.0;
+    let due = settings.validity.0 + settings.lease.0 + settings.slack.0;
     assert_ne!(
         claim.tick(Millis(START + due - 1)),
-        Some(ClaimAction::Append {
+        Some(PlannerLeaseAction::Append {
             end: 9,
             fence: None
         })
@@ -218,7 +223,7 @@
     claim.on_read(&view, Millis(START + due - 1));
     assert_eq!(
         claim.tick(Millis(START + due)),
-        Some(ClaimAction::Append {
+        Some(PlannerLeaseAction::Append {
             end: 9,
             fence: None
         })
@@ -226,17 +231,17 @@
 }
 
 /// When a successor may claim that reads a release at `START`.
-fn claims_after(handed: bool) -> u64 {
-    let mut claim = Claim::new(ClaimSettings::from_lease(LEASE), "me".to_owned());
+fn claims_after(has_handover: bool) -> u64 {
+    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
     claim.tick(Millis(START));
-    let view = ClaimView {
+    let view = PlannerLeaseView {
         end: 9,
         holder: Some("other".to_owned()),
         released: true,
-        handed,
+        has_handover,
     };
     claim.on_read(&view, Millis(START));
-    let append = ClaimAction::Append {
+    let append = PlannerLeaseAction::Append {
         end: 9,
         fence: None,
     };
@@ -257,11 +262,15 @@
 /// What a daemon that heard of a renewal so long ago knows of the time without a holder: how long it has
 /// lasted, and how long it takes until another daemon may order.
 fn vacancy_after(ms: u64) -> Option<(u64, u64)> {
-    let settings = ClaimSettings::from_lease(LEASE);
-    let mut claim = Claim::new(settings, "d0".to_owned());
-    claim.heard(7, Millis(START));
-    let vacancy = claim.vacancy(Millis(START + ms));
-    vacancy.map(|Vacancy { lasted, left, .. }| (lasted.0, left.0))
+    let settings = PlannerLeaseSettings::from_lease(LEASE);
+    let mut claim = PlannerLease::new(settings, "d0".to_owned());
+    claim.on_renewal(7, Millis(START));
+    let vacancy = claim.gap(Millis(START + ms));
+    vacancy.map(
+        |PlannerGap {
+             elapsed, remaining, ..
+         }| (elapsed.0, remaining.0),
+    )
 }
 
 cases! { vacancy_after;
@@ -272,8 +281,8 @@
 
 #[test]
 fn who_never_heard_of_a_holder_knows_of_no_vacancy() {
-    let claim = Claim::new(ClaimSettings::from_lease(LEASE), "d0".to_owned());
-    assert_eq!(claim.vacancy(Millis(START)), None);
+    let claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
+    assert_eq!(claim.gap(Millis(START)), None);
 }
 
 /// How much longer a daemon tells callers to wait, one second into the silence of a holder, where holders
@@ -281,18 +290,18 @@
 fn longer_after(lives: &[u64]) -> u64 {
     const SUCCEEDED: u64 = 5_000;
     const INTO: u64 = 2_000;
-    let mut claim = Claim::new(ClaimSettings::from_lease(LEASE), "d0".to_owned());
+    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
     let (mut now, mut end) = (START, 7);
     for lived in lives {
         for _ in 0..=lived / 500 {
-            claim.heard(end, Millis(now));
+            claim.on_renewal(end, Millis(now));
             (now, end) = (now + 500, end + 1);
         }
         now += SUCCEEDED - 500;
     }
     let silent = now - SUCCEEDED + INTO;
-    let vacancy = claim.vacancy(Millis(silent)).expect("nobody renews");
-    vacancy.more.0
+    let vacancy = claim.gap(Millis(silent)).expect("nobody renews");
+    vacancy.extra.0
 }
 
 cases! { longer_after;
@@ -306,10 +315,10 @@
 
 /// A successor that dies before anybody hears of it leaves one long silence.
 fn longer_within(silent: u64) -> u64 {
-    let mut claim = Claim::new(ClaimSettings::from_lease(LEASE), "d0".to_owned());
-    claim.heard(7, Millis(START));
-    let vacancy = claim.vacancy(Millis(START + silent));
-    vacancy.expect("nobody renews").more.0
+    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
+    claim.on_renewal(7, Millis(START));
+    let vacancy = claim.gap(Millis(START + silent));
+    vacancy.expect("nobody renews").extra.0
 }
 
 cases! { longer_within;
--- a/crates/fleet/tests/replaced/day.rs
+++ b/crates/fleet/tests/replaced/day.rs
@@ -2,8 +2,8 @@
 //! out its orders in the time that they take, callers ask at fixed rates.
 
 use shaleline_fleet::{
-    Catalog, Demand, Fleet, Held, LeadTime, LoadWindow, ModelRule, Order, OrderKind, OrderReply,
-    PlanView, Rates, ServicePlanners, Sighting, UnmetByKey,
+    Catalog, Demand, Fleet, Held, HeldSource, LoadWindow, ModelProfile, Order, OrderKind,
+    OrderReply, PlanView, Rates, ServicePlanners, UnmetByKey, WarmupPhase,
 };
 use shaleline_types::{DataCentre, Megabytes, Millis, Model, Service, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,22 +52,22 @@
 }
 
 pub(crate) fn catalog() -> Catalog {
-    let rule = ModelRule {
-        size: Megabytes(70_000),
-        store: Millis(9_000),
-        disk: Millis(2_000),
-        warm: Millis(800),
+    let rule = ModelProfile {
+        weights_size: Megabytes(70_000),
+        store_time: Millis(9_000),
+        disk_time: Millis(2_000),
+        warm_time: Millis(800),
         adapters: Vec::new(),
         adapter_size: Megabytes(0),
     };
     Catalog {
         models: (0..MODELS).map(|n| (model(n), rule.clone())).collect(),
         memory: Megabytes(220_000),
-        places: 8,
-        rate: 1.4,
-        slots: 64,
-        copies: Megabytes(220_000),
-        disk: Megabytes(440_000),
+        adapter_slots: 8,
+        load_rate: 1.4,
+        request_slots: 64,
+        warm_memory: Megabytes(220_000),
+        disk_space: Megabytes(440_000),
     }
 }
 
@@ -80,15 +80,15 @@
 /// What a plan looks at during the day.
 pub(crate) fn view<'a>(catalog: &'a Catalog, fleet: &'a Fleet, rates: &'a Rates) -> PlanView<'a> {
     PlanView {
-        lead: LeadTime::Over,
+        warmup: WarmupPhase::Over,
         catalog,
         fleet,
         rates,
         unmet: &UNMET,
         fence: 7,
         holder: "me",
-        resting: &RESTING,
-        succeeds: false,
+        cooldowns: &RESTING,
+        after_failure: false,
     }
 }
 
@@ -204,7 +204,7 @@
         let at = Millis(now);
         let held = real.report();
         self.fleet
-            .sight(&name, &centre(), held, Sighting::Listed, at);
+            .observe(&name, &centre(), held, HeldSource::Listed, at);
         self.engines.insert(name, real);
     }
 
@@ -236,7 +236,7 @@
 
     fn ask(&mut self, model: &Model, now: u64) {
         let at = Millis(now);
-        self.demand.note(model, None, REQUEST_WORK, at);
+        self.demand.record(model, None, REQUEST_WORK, at);
         let served = self.engines.values().any(|e| e.serves(model, now));
         let got = self.got.entry(model.clone()).or_default();
         got.asked += 1;
@@ -282,11 +282,11 @@
             assert!(real.work.is_none(), "one order at a time: {order}");
             let far = order.kind == OrderKind::Load && !real.disk.contains(&order.model);
             if far {
-                self.window.note(at);
+                self.window.record(at);
                 self.begun.push(now);
             }
-            self.fleet.note_sent(&order, at);
-            self.fleet.note_reply(&order, OrderReply::Accepted, at);
+            self.fleet.record_sent(&order, at);
+            self.fleet.record_reply(&order, OrderReply::Accepted, at);
             real.begin(&order, now);
         }
     }
@@ -302,7 +302,7 @@
         for number in 0..ENGINES {
             let name = engine(number + 2 * ENGINES);
             let held = day.engines[&engine(number)].report();
-            other.sight(&name, &centre(), held, Sighting::Listed, Millis(0));
+            other.observe(&name, &centre(), held, HeldSource::Listed, Millis(0));
         }
         day.beside = Some(other);
         day.run()
--- a/crates/fleet/tests/replaced/main.rs
+++ b/crates/fleet/tests/replaced/main.rs
@@ -13,7 +13,7 @@
 
 use day::{catalog, centre, engine, model, view, Day, BUSY, RARE_EVERY_MS, REQUEST_WORK, STEP};
 use shaleline_fleet::{
-    Catalog, Demand, Fleet, Held, LoadWindow, OrderKind, PlanSettings, Planner, Sighting,
+    Catalog, Demand, Fleet, Held, HeldSource, LoadWindow, OrderKind, PlanSettings, Planner,
 };
 use shaleline_types::{Megabytes, Millis, Model};
 use std::collections::BTreeSet;
@@ -98,13 +98,13 @@
         (engine(2), held([&third, &fourth], &[&busy])),
     ];
     for (name, held) in engines {
-        let listed = Sighting::Listed;
-        fleet.sight(&name, &centre(), held.clone(), listed, now);
+        let listed = HeldSource::Listed;
+        fleet.observe(&name, &centre(), held.clone(), listed, now);
         fleet.report(&name, held, now);
     }
     let mut demand = Demand::default();
     for _ in 0..21 {
-        demand.note(&busy, None, REQUEST_WORK, now);
+        demand.record(&busy, None, REQUEST_WORK, now);
     }
     let rates = demand.rates(now);
     let view = view(&catalog, &fleet, &rates);
@@ -125,7 +125,7 @@
             ..Held::default()
         };
         let name = engine(number);
-        fleet.sight(&name, &centre(), held, Sighting::Listed, Millis(0));
+        fleet.observe(&name, &centre(), held, HeldSource::Listed, Millis(0));
     }
     fleet
 }
@@ -144,11 +144,11 @@
     let room_made = (0..60_000).step_by(STEP as usize).find(|now| {
         let at = Millis(*now);
         for model in [&busy, &busy] {
-            demand.note(model, None, REQUEST_WORK, at);
+            demand.record(model, None, REQUEST_WORK, at);
         }
         for (model, every) in [(&first, 500), (&second, 500), (&rare, RARE_EVERY_MS)] {
             if (now + STEP) % every == 0 {
-                demand.note(model, None, REQUEST_WORK, at);
+                demand.record(model, None, REQUEST_WORK, at);
             }
         }
         let rates = demand.rates(at);
@@ -171,14 +171,14 @@
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     for now in (0..32_000).step_by(STEP as usize) {
         let at = Millis(now);
-        demand.note(&busy, None, REQUEST_WORK, at);
-        demand.note(&busy, None, REQUEST_WORK, at);
+        demand.record(&busy, None, REQUEST_WORK, at);
+        demand.record(&busy, None, REQUEST_WORK, at);
         if now % 500 == 400 {
-            demand.note(&first, None, REQUEST_WORK, at);
-            demand.note(&second, None, REQUEST_WORK, at);
+            demand.record(&first, None, REQUEST_WORK, at);
+            demand.record(&second, None, REQUEST_WORK, at);
         }
         if [5_000, 30_000].contains(&now) {
-            demand.note(&rare, None, REQUEST_WORK, at);
+            demand.record(&rare, None, REQUEST_WORK, at);
         }
         let rates = demand.rates(at);
         let orders = planner.plan(&view(&catalog, &fleet, &rates), &mut window, at);
--- a/crates/fleet/tests/restart.rs
+++ b/crates/fleet/tests/restart.rs
@@ -3,8 +3,8 @@
 mod shared;
 
 use shaleline_fleet::{
-    Fleet, Held, LeadTime, LoadWindow, Order, OrderReply, PlanSettings, PlanView, Planner, Rates,
-    Sighting, UnmetByKey,
+    Fleet, Held, HeldSource, LoadWindow, Order, OrderReply, PlanSettings, PlanView, Planner, Rates,
+    UnmetByKey, WarmupPhase,
 };
 use shaleline_testkit::cases;
 use shaleline_types::{DataCentre, Incarnation, Millis, Upstream};
@@ -33,22 +33,22 @@
 
 fn list(fleet: &mut Fleet, held: Held, now: Millis) {
     let centre = DataCentre::from_text("dc1").expect("a valid name");
-    fleet.sight(&engine(), &centre, held, Sighting::Listed, now);
+    fleet.observe(&engine(), &centre, held, HeldSource::Listed, now);
 }
 
 fn plan(fleet: &mut Fleet, now: Millis) -> Vec<Order> {
     fleet.prune(now);
     let catalog = catalog(&["a", "b", "c"], &[]);
     let view = PlanView {
-        lead: LeadTime::Over,
+        warmup: WarmupPhase::Over,
         catalog: &catalog,
         fleet,
         rates: &Rates::new(),
         unmet: &UnmetByKey::new(),
         fence: 7,
         holder: "me",
-        resting: &BTreeMap::new(),
-        succeeds: false,
+        cooldowns: &BTreeMap::new(),
+        after_failure: false,
     };
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     Planner::new(PlanSettings::default()).plan(&view, &mut window, now)
@@ -124,8 +124,8 @@
         model: model("a"),
         ..orders.first().expect("it is filled").clone()
     };
-    fleet.note_sent(&order, NOW);
-    fleet.note_reply(&order, reply, NOW);
+    fleet.record_sent(&order, NOW);
+    fleet.record_reply(&order, reply, NOW);
     list(&mut fleet, held(&["b"], 0, SECOND), NOW.plus(100));
     words(&plan(&mut fleet, NOW.plus(later)))
 }
@@ -146,8 +146,8 @@
     let mut fleet = Fleet::default();
     list(&mut fleet, held(&[], 0, FIRST), NOW);
     let order = plan(&mut fleet, NOW).remove(0);
-    fleet.note_sent(&order, NOW);
-    fleet.note_reply(&order, OrderReply::Lost, NOW);
+    fleet.record_sent(&order, NOW);
+    fleet.record_reply(&order, OrderReply::Lost, NOW);
     list(&mut fleet, held(&["b"], 0, SECOND), NOW.plus(100));
     fleet.report(&engine(), held(&["b"], 1, SECOND), NOW.plus(200));
     let orders = plan(&mut fleet, NOW.plus(300));
--- a/crates/fleet/tests/shared/mod.rs
+++ b/crates/fleet/tests/shared/mod.rs
@@ -1,6 +1,6 @@
 //! What several tests of plans share: names, and a catalog of models that load alike.
 
-use shaleline_fleet::{Catalog, ModelRule};
+use shaleline_fleet::{Catalog, ModelProfile};
 use shaleline_types::{Adapter, Megabytes, Millis, Model};
 
 pub fn model(name: &str) -> Model {
@@ -13,21 +13,21 @@
 
 /// Models of 70 GB, each with these adapters, on engines of 150 GB: two fit, and one adapter beside them.
 pub fn catalog(models: &[&str], adapters: &[&str]) -> Catalog {
-    let rule = ModelRule {
-        size: Megabytes(70_000),
-        store: Millis(9_000),
-        disk: Millis(2_000),
-        warm: Millis(800),
+    let rule = ModelProfile {
+        weights_size: Megabytes(70_000),
+        store_time: Millis(9_000),
+        disk_time: Millis(2_000),
+        warm_time: Millis(800),
         adapters: adapters.iter().map(|a| adapter(a)).collect(),
         adapter_size: Megabytes(50),
     };
     Catalog {
         models: models.iter().map(|m| (model(m), rule.clone())).collect(),
         memory: Megabytes(150_000),
-        places: 1,
-        rate: 10.0,
-        slots: 64,
-        copies: Megabytes(150_000),
-        disk: Megabytes(440_000),
+        adapter_slots: 1,
+        load_rate: 10.0,
+        request_slots: 64,
+        warm_memory: Megabytes(150_000),
+        disk_space: Megabytes(440_000),
     }
 }
--- a/crates/fleet/tests/size.rs
+++ b/crates/fleet/tests/size.rs
@@ -1,8 +1,8 @@
 //! Plans for many engines.
 
 use shaleline_fleet::{
-    Catalog, Fleet, Held, LeadTime, LoadWindow, ModelRule, Order, OrderKind, OrderReply,
-    PlanSettings, PlanView, Planner, Rate, Rates, Sighting, UnmetByKey,
+    Catalog, Fleet, Held, HeldSource, LoadWindow, ModelProfile, Order, OrderKind, OrderReply,
+    PlanSettings, PlanView, Planner, Rate, Rates, UnmetByKey, WarmupPhase,
 };
 use shaleline_types::{DataCentre, Megabytes, Millis, Model, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,22 +28,22 @@
 }
 
 fn catalog() -> Catalog {
-    let rule = ModelRule {
-        size: Megabytes(70_000),
-        store: Millis(8_000),
-        disk: Millis(1_600),
-        warm: Millis(800),
+    let rule = ModelProfile {
+        weights_size: Megabytes(70_000),
+        store_time: Millis(8_000),
+        disk_time: Millis(1_600),
+        warm_time: Millis(800),
         adapters: Vec::new(),
         adapter_size: Megabytes(50),
     };
     Catalog {
         models: (0..MODELS).map(|m| (model(m), rule.clone())).collect(),
         memory: Megabytes(220_000),
-        places: 8,
-        rate: 12.5,
-        slots: 64,
-        copies: Megabytes(150_000),
-        disk: Megabytes(440_000),
+        adapter_slots: 8,
+        load_rate: 12.5,
+        request_slots: 64,
+        warm_memory: Megabytes(150_000),
+        disk_space: Megabytes(440_000),
     }
 }
 
@@ -82,7 +82,7 @@
             let (name, now) = (engine(number), Millis(START));
             play.held.insert(name.clone(), held.clone());
             play.fleet
-                .sight(&name, &centre, held, Sighting::Listed, now);
+                .observe(&name, &centre, held, HeldSource::Listed, now);
         }
         play
     }
@@ -116,9 +116,9 @@
             unmet: &UnmetByKey::new(),
             fence: 7,
             holder: "me",
-            lead: LeadTime::Over,
-            resting: &BTreeMap::new(),
-            succeeds: false,
+            warmup: WarmupPhase::Over,
+            cooldowns: &BTreeMap::new(),
+            after_failure: false,
         };
         self.planner.plan(&view, &mut self.window, at)
     }
@@ -131,13 +131,13 @@
             OrderKind::Unload => 300,
             OrderKind::Load if near => 1_600,
             OrderKind::Load => {
-                self.window.note(Millis(now));
+                self.window.record(Millis(now));
                 8_000
             }
         };
-        self.fleet.note_sent(&order, Millis(now));
+        self.fleet.record_sent(&order, Millis(now));
         self.fleet
-            .note_reply(&order, OrderReply::Accepted, Millis(now));
+            .record_reply(&order, OrderReply::Accepted, Millis(now));
         self.work.push((now + takes, order));
     }
 
--- a/crates/fleet/tests/unmet.rs
+++ b/crates/fleet/tests/unmet.rs
@@ -13,13 +13,13 @@
     let a = Adapter::from_text("a").expect("a valid name");
     let mut unmet = UnmetDemand::default();
     for back in backs {
-        unmet.note(&m, Some(&a), Millis(*back), START);
+        unmet.record(&m, Some(&a), Millis(*back), START);
     }
     if served {
         unmet.on_served(&m, Some(&a), START.plus(500));
     }
     let told = unmet.longest(8, START.plus(1_000));
-    told.first().map(|(_, _, u)| (u.next, u.back))
+    told.first().map(|(_, _, u)| (u.next_retry, u.last_retry))
 }
 
 cases! { told;
@@ -38,33 +38,33 @@
 fn what_is_passed_on_has_grown_old() {
     let told = Unmet {
         waited: 2_000,
-        last: 300,
-        tries: 2,
-        next: 100,
-        back: 900,
+        last_age: 300,
+        attempts: 2,
+        next_retry: 100,
+        last_retry: 900,
     };
     let passed = Unmet {
         waited: 2_250,
-        last: 550,
-        tries: 2,
-        next: 0,
-        back: 650,
+        last_age: 550,
+        attempts: 2,
+        next_retry: 0,
+        last_retry: 650,
     };
     assert_eq!(told.aged(250), passed);
 }
 
 /// The first who comes back to either of two daemons, and the last.
 fn both((a, b): ((u32, u32), (u32, u32))) -> (u32, u32) {
-    let unmet = |(next, back)| Unmet {
+    let unmet = |(next_retry, last_retry)| Unmet {
         waited: 1_000,
-        last: 300,
-        tries: 1,
-        next,
-        back,
+        last_age: 300,
+        attempts: 1,
+        next_retry,
+        last_retry,
     };
     let mut sum = unmet(a);
     sum.add(unmet(b));
-    (sum.next, sum.back)
+    (sum.next_retry, sum.last_retry)
 }
 
 cases! { both;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -261,7 +261,7 @@
         gw.tell_missing(permit.id(), upstream, model, adapter);
     }
     if failure == Failure::NotSent && job.head.model.is_some() {
-        gw.with_fleet(upstream, |f| f.note_unreachable(upstream, gw.now()));
+        gw.with_fleet(upstream, |f| f.record_unreachable(upstream, gw.now()));
     }
     if gw.lines.take(gw.now()) {
         let detail = format!(
--- a/crates/gateway/src/choosing.rs
+++ b/crates/gateway/src/choosing.rs
@@ -202,7 +202,7 @@
     fn note_unreached(&self, id: RequestId) {
         let at = self.router.borrow().upstream_of(id).cloned();
         if let Some(at) = at {
-            self.with_fleet(&at, |f| f.note_unreachable(&at, self.now()));
+            self.with_fleet(&at, |f| f.record_unreachable(&at, self.now()));
         }
     }
 
@@ -262,7 +262,7 @@
     /// Takes back that an engine holds something.
     pub(crate) fn take_missing(&self, engine: &Upstream, model: &Model, adapter: Option<&Adapter>) {
         let now = self.now();
-        self.with_fleet(engine, |f| f.note_absent(engine, model, adapter, now));
+        self.with_fleet(engine, |f| f.record_absent(engine, model, adapter, now));
     }
 
     /// Stops choosing for others: this daemon stops.
--- a/crates/gateway/src/claiming.rs
+++ b/crates/gateway/src/claiming.rs
@@ -7,7 +7,7 @@
 use crate::state::Gateway;
 use crate::store::{Batch, StoreError, Topic};
 use serde::{Deserialize, Serialize};
-use shaleline_fleet::{ClaimAction, ClaimView, Handover};
+use shaleline_fleet::{Handover, PlannerLeaseAction, PlannerLeaseView};
 use shaleline_types::{LogEvent, Millis};
 
 /// The key of the claim.
@@ -24,7 +24,7 @@
 }
 
 /// The next step of the claim, where this daemon takes part in it.
-pub(crate) fn next_claim(gw: &Gateway) -> Option<ClaimAction> {
+pub(crate) fn next_claim(gw: &Gateway) -> Option<PlannerLeaseAction> {
     let now = gw.now();
     // Hubs know what is asked for, as far as they hear the others.
     let hub = gw.mesh.borrow_mut().is_hub(now) && gw.hearing.borrow().may_claim(now);
@@ -36,10 +36,10 @@
 }
 
 /// Takes a step that was decided at `asked`.
-pub(crate) async fn act(gw: &Gateway, action: ClaimAction, asked: Millis) {
+pub(crate) async fn act(gw: &Gateway, action: PlannerLeaseAction, asked: Millis) {
     match action {
-        ClaimAction::Read => read(gw).await,
-        ClaimAction::Append { end, .. } => append(gw, end, asked).await,
+        PlannerLeaseAction::Read => read(gw).await,
+        PlannerLeaseAction::Append { end, .. } => append(gw, end, asked).await,
     }
 }
 
@@ -72,7 +72,7 @@
     pub(crate) read: Millis,
 }
 
-fn to_view(batch: &Batch) -> (ClaimView, Option<Handover>) {
+fn to_view(batch: &Batch) -> (PlannerLeaseView, Option<Handover>) {
     let newest = batch.records.iter().find(|r| r.key == KEY);
     let value = newest.and_then(|r| r.value.as_deref());
     // A record that can't be understood is somebody's claim all the same.
@@ -85,10 +85,10 @@
     });
     let released = record.as_ref().is_some_and(|r| r.released);
     let last = record.as_ref().and_then(|r| r.last.clone());
-    let view = ClaimView {
+    let view = PlannerLeaseView {
         end: batch.next,
         released,
-        handed: last.is_some(),
+        has_handover: last.is_some(),
         holder: record.map(|r| r.holder),
     };
     (view, last.filter(|_| released))
@@ -113,7 +113,7 @@
     let mut claim = gw.claim.borrow_mut();
     match result {
         Ok(offset) => claim.on_appended(offset, started),
-        Err(StoreError::Moved(_)) => claim.on_moved(),
+        Err(StoreError::Moved(_)) => claim.on_conflict(),
         Err(_) => claim.on_failed(),
     }
     drop(claim);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -151,14 +151,14 @@
 /// What this daemon tells of itself as the planner; none where it is not.
 pub(crate) fn planner_note(gw: &Gateway, now: Millis) -> Option<PlannerNote> {
     let claim = gw.claim.borrow();
-    let (fence, renewed) = (claim.fence(now)?, claim.renewed()?);
+    let (fence, renewed) = (claim.fence(now)?, claim.renewal()?);
     let note = PlannerNote {
         fence,
         address: gw.mesh.borrow().address(),
         end: renewed.end,
         age: 0,
     };
-    Some(note.aged(now.since(renewed.began)))
+    Some(note.aged(now.since(renewed.started)))
 }
 
 /// What this daemon's callers ask for.
@@ -348,7 +348,7 @@
     let mine = gw.mesh.borrow().address();
     if let Some(planner) = note.filter(|p| p.address != mine) {
         let began = gw.now().0.saturating_sub(u64::from(planner.age));
-        gw.claim.borrow_mut().heard(planner.end, Millis(began));
+        gw.claim.borrow_mut().on_renewal(planner.end, Millis(began));
     }
 }
 
@@ -407,7 +407,7 @@
                 model,
             } => {
                 if self.start_of(engine).1 == *incarnation {
-                    self.with_fleet(engine, |f| f.note_absent(engine, model, None, now));
+                    self.with_fleet(engine, |f| f.record_absent(engine, model, None, now));
                 }
                 Concerns::All
             }
@@ -417,7 +417,7 @@
                 Concerns::Hubs
             }
             News::Released => {
-                self.claim.borrow_mut().on_release_heard();
+                self.claim.borrow_mut().on_release();
                 self.mesh.borrow_mut().on_released();
                 Concerns::Hubs
             }
--- a/crates/gateway/src/lead.rs
+++ b/crates/gateway/src/lead.rs
@@ -7,7 +7,7 @@
 use crate::state::{EngineStart, Gateway};
 use crate::tags::TagBook;
 use shaleline_fleet::{
-    LeadTime, LoadWindow, Order, PlanNote, PlanView, Rates, ServicePlanners, Unmet, UnmetByKey,
+    LoadWindow, Order, PlanNote, PlanView, Rates, ServicePlanners, Unmet, UnmetByKey, WarmupPhase,
 };
 use shaleline_types::{LogEvent, Millis, Service, Upstream};
 use std::cell::{Cell, RefCell};
@@ -81,11 +81,11 @@
     }
 
     /// What may be done before the first traffic.
-    fn lead_time(&self, quiet: bool, now: Millis) -> LeadTime {
+    fn lead_time(&self, quiet: bool, now: Millis) -> WarmupPhase {
         match self.lead.get() {
-            Some((begin, _)) if quiet && now < begin => LeadTime::Spread,
-            Some((_, end)) if now < end => LeadTime::Restore,
-            _ => LeadTime::Over,
+            Some((begin, _)) if quiet && now < begin => WarmupPhase::Spread,
+            Some((_, end)) if now < end => WarmupPhase::Restore,
+            _ => WarmupPhase::Over,
         }
     }
 }
@@ -200,7 +200,7 @@
         window = window.resume(&inherited.last, inherited.read);
         let mut ordered = gw.ordered.borrow_mut();
         ordered.inherit(&inherited.last, inherited.read);
-        let resting = ordered.resting(gw.claim.borrow().rest(), now);
+        let resting = ordered.cooldowns(gw.claim.borrow().cooldown(), now);
         let detail = format!(
             "resting={} loads={}",
             resting.len(),
@@ -210,7 +210,7 @@
         *working.resting.borrow_mut() = resting;
     } else {
         working.succeeded.set(Some(now));
-        let lapsed = gw.claim.borrow().rest();
+        let lapsed = gw.claim.borrow().cooldown();
         window.block(now.plus(window.span().0.saturating_sub(lapsed.0)));
     }
     *working.window.borrow_mut() = Some(window);
@@ -247,13 +247,13 @@
         rate.work = rate.work.max(WANT_RATE);
         let age = now.since(*at) as u32;
         // Whoever waits for it is told to come back, or waits on, for so long.
-        let back = (ADAPTER.0 as u32).saturating_sub(age);
+        let last_retry = (ADAPTER.0 as u32).saturating_sub(age);
         let wanted = Unmet {
             waited: age,
-            last: age,
-            tries: 1,
-            next: back,
-            back,
+            last_age: age,
+            attempts: 1,
+            next_retry: last_retry,
+            last_retry,
         };
         let known = unmet.entry(key);
         known.and_modify(|u| u.add(wanted)).or_insert(wanted);
@@ -294,9 +294,9 @@
             unmet: &unmet,
             fence,
             holder: gw.me.instance.as_str(),
-            lead: working.lead_time(rates.is_empty(), now),
-            resting: &resting,
-            succeeds: working.succeeds(now),
+            warmup: working.lead_time(rates.is_empty(), now),
+            cooldowns: &resting,
+            after_failure: working.succeeds(now),
         };
         let (planned, why) = planners.plan(service, &view, window, now);
         orders.extend(planned.into_iter().map(|o| (service.clone(), o)));
@@ -313,9 +313,9 @@
     for note in notes {
         let event = match note {
             PlanNote::Move { .. } => LogEvent::MovePlanned,
-            PlanNote::Away { .. } => LogEvent::ModelAway,
-            PlanNote::Waiting { .. } => LogEvent::AdapterAway,
-            PlanNote::Back { away, .. } => {
+            PlanNote::ModelAway { .. } => LogEvent::ModelAway,
+            PlanNote::AdapterAway { .. } => LogEvent::AdapterAway,
+            PlanNote::ModelBack { away, .. } => {
                 gw.metrics.note_away(away.0);
                 LogEvent::ModelBack
             }
@@ -327,7 +327,7 @@
 /// The engines of which it is not known for certain what they hold.
 pub(crate) fn unproven(gw: &Gateway) -> Vec<Upstream> {
     let fleets = gw.fleets.borrow();
-    let names = fleets.values().flat_map(|f| f.unproven().cloned());
+    let names = fleets.values().flat_map(|f| f.unconfirmed().cloned());
     names.collect()
 }
 
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -78,7 +78,7 @@
     gw.metrics.count_order(reply_word(reply));
     let detail = format!("order=\"{order}\" fence={} reply={reply:?}", order.fence);
     emit(LogEvent::OrderSent, &detail);
-    gw.with_fleet(&order.engine, |f| f.note_reply(order, reply, gw.now()));
+    gw.with_fleet(&order.engine, |f| f.record_reply(order, reply, gw.now()));
     match reply {
         // An adapter that is dropped at once leaves nothing to look for: its place may be given away.
         OrderReply::Done if order.drops_adapter() => {}
@@ -111,10 +111,10 @@
 pub(crate) fn note_leaving(gw: &Gateway, working: &Working, service: &Service, order: &Order) {
     if is_far(gw, service, order) {
         if let Some(window) = working.window.borrow_mut().as_mut() {
-            window.note(gw.now());
+            window.record(gw.now());
         }
     }
-    gw.with_fleet(&order.engine, |f| f.note_sent(order, gw.now()));
+    gw.with_fleet(&order.engine, |f| f.record_sent(order, gw.now()));
 }
 
 /// Tells the others what an engine was seen to hold.
@@ -162,7 +162,7 @@
     };
     let fleets = gw.fleets.borrow();
     let engine = fleets.get(service).and_then(|f| f.get(&order.engine));
-    engine.map_or(rule.store, |e| e.load_time(&order.model, rule))
+    engine.map_or(rule.store_time, |e| e.load_time(&order.model, rule))
 }
 
 /// Looks at the engine until an order is carried out, and tells the others.
@@ -174,7 +174,7 @@
         look(gw, &order.engine).await;
         let fleets = gw.fleets.borrow();
         let engine = fleets.get(service).and_then(|f| f.get(&order.engine));
-        if engine.is_none_or(|e| !e.awaits(order)) {
+        if engine.is_none_or(|e| !e.has_pending(order)) {
             emit(LogEvent::OrderSettled, &format!("order=\"{order}\""));
             return;
         }
@@ -202,7 +202,7 @@
 }
 
 async fn send_order(gw: &Gateway, order: &Order) -> OrderReply {
-    gw.ordered.borrow_mut().note(&order.engine, gw.now());
+    gw.ordered.borrow_mut().record(&order.engine, gw.now());
     match call(gw, &order.engine, gw.codec.order(order)).await {
         Some((status, _)) => gw.codec.order_reply(status),
         None => OrderReply::Lost,
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -354,11 +354,12 @@
 /// When to come back for what a planner has to load first, where that takes so long. While nobody plans,
 /// nothing is loaded.
 pub(crate) fn load_retry(gw: &Gateway, takes: Millis) -> Millis {
-    match gw.claim.borrow().vacancy(gw.now()) {
+    match gw.claim.borrow().gap(gw.now()) {
         Some(vacancy) => {
             // As many more come meanwhile as more daemons plan in vain.
-            let turn = (vacancy.lasted.0 / RETURN_PART).min(RETURN_MOST.0) * (1 + vacancy.deaths);
-            let waits = vacancy.left.plus(vacancy.more.0).plus(SUCCESSOR.0);
+            let turn =
+                (vacancy.elapsed.0 / RETURN_PART).min(RETURN_MOST.0) * (1 + vacancy.failures);
+            let waits = vacancy.remaining.plus(vacancy.extra.0).plus(SUCCESSOR.0);
             takes.plus(waits.0).plus(turn)
         }
         None => takes,
@@ -381,7 +382,7 @@
     if !job.came_back {
         gw.demand
             .borrow_mut()
-            .note(model, adapter, tokens * cost, now);
+            .record(model, adapter, tokens * cost, now);
     }
     let Some(adapter) = adapter else {
         return;
@@ -407,7 +408,7 @@
         if !self.router.borrow().is_served(&job.route()) {
             let adapter = job.head.adapter.as_ref();
             let mut unmet = self.unmet.borrow_mut();
-            unmet.note(model, adapter, retry, self.now());
+            unmet.record(model, adapter, retry, self.now());
         }
     }
 
@@ -453,7 +454,7 @@
         if let Some(model) = &job.head.model {
             let now = self.now();
             let adapter = job.head.adapter.as_ref();
-            self.with_fleet(upstream, |f| f.note_absent(upstream, model, adapter, now));
+            self.with_fleet(upstream, |f| f.record_absent(upstream, model, adapter, now));
         }
     }
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -21,7 +21,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_edge::{Clock, Gate, Pool, PoolSettings, Target};
-use shaleline_fleet::{Claim, ClaimSettings, Demand, Fleet, LastOrders, Sighting, UnmetDemand};
+use shaleline_fleet::{
+    Demand, Fleet, HeldSource, LastOrders, PlannerLease, PlannerLeaseSettings, UnmetDemand,
+};
 use shaleline_route::{
     Load, RetrySettings, Route, RouteAction, RouteEvent, Router, RouterSettings, ShareBook, Site,
 };
@@ -98,7 +100,7 @@
     pub(crate) settled: Cell<bool>,
     /// Tells that a hub marked how far it has read.
     pub(crate) marked: Notify,
-    pub(crate) claim: RefCell<Claim>,
+    pub(crate) claim: RefCell<PlannerLease>,
     /// Whether this daemon hears enough of the others to plan.
     pub(crate) hearing: RefCell<Hearing>,
     /// When engines had their last orders, from here or from planners before.
@@ -190,11 +192,11 @@
             ..RouterSettings::new(settings.centre.clone())
         };
         let name = settings.instance.as_str();
-        let claim = ClaimSettings::from_lease(settings.bounds.lease);
+        let claim = PlannerLeaseSettings::from_lease(settings.bounds.lease);
         Ok(Rc::new(Self {
             router: RefCell::new(Router::new(router, ShareBook::alone(name))),
             hearing: RefCell::new(Hearing::default()),
-            claim: RefCell::new(Claim::new(claim, format!("{name}/{life:016x}"))),
+            claim: RefCell::new(PlannerLease::new(claim, format!("{name}/{life:016x}"))),
             ordered: RefCell::new(LastOrders::default()),
             inherited: RefCell::new(None),
             me,
@@ -328,7 +330,7 @@
         if let Some(held) = entry.held.clone() {
             let mut fleets = self.fleets.borrow_mut();
             let fleet = fleets.entry(entry.service.clone()).or_default();
-            fleet.sight(name, &entry.centre, held, Sighting::Listed, now);
+            fleet.observe(name, &entry.centre, held, HeldSource::Listed, now);
             fleet.set_leaving(name, leaving);
         }
         let was = self.router.borrow().is_leaving(name);
--- a/crates/gateway/tests/unit/catalogue/engines.rs
+++ b/crates/gateway/tests/unit/catalogue/engines.rs
@@ -2,7 +2,7 @@
 
 use rand::rngs::SmallRng;
 use rand::Rng;
-use shaleline_fleet::{Catalog, Held, ModelRule, Order, OrderKind, OrderReply};
+use shaleline_fleet::{Catalog, Held, ModelProfile, Order, OrderKind, OrderReply};
 use shaleline_types::{Adapter, Incarnation, Megabytes, Millis, Model, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -63,24 +63,24 @@
     counts
 }
 
-fn catalog(models: usize, adapters: usize, rate: f64) -> Catalog {
+fn catalog(models: usize, adapters: usize, load_rate: f64) -> Catalog {
     let counts = spread_adapters(models, adapters);
-    let rule = |count: usize| ModelRule {
-        size: Megabytes(70_000),
-        store: Millis(8_000),
-        disk: Millis(1_600),
-        warm: Millis(800),
+    let rule = |count: usize| ModelProfile {
+        weights_size: Megabytes(70_000),
+        store_time: Millis(8_000),
+        disk_time: Millis(1_600),
+        warm_time: Millis(800),
         adapters: (0..count).map(adapter).collect(),
         adapter_size: Megabytes(50),
     };
     Catalog {
         models: (0..models).map(|m| (model(m), rule(counts[m]))).collect(),
         memory: Megabytes(220_000),
-        places: 8,
-        rate,
-        slots: 64,
-        copies: Megabytes(150_000),
-        disk: Megabytes(440_000),
+        adapter_slots: 8,
+        load_rate,
+        request_slots: 64,
+        warm_memory: Megabytes(150_000),
+        disk_space: Megabytes(440_000),
     }
 }
 
@@ -144,8 +144,8 @@
                 return (OrderReply::Accepted, now + ADAPTER_MS);
             }
             (None, OrderKind::Unload) => DROP_MS,
-            (None, OrderKind::Load) if held.disk.contains(&order.model) => rule.disk.0,
-            (None, OrderKind::Load) => rule.store.0,
+            (None, OrderKind::Load) if held.disk.contains(&order.model) => rule.disk_time.0,
+            (None, OrderKind::Load) => rule.store_time.0,
         };
         held.busy = true;
         engine.work = Some((now + takes, order.clone()));
--- a/crates/gateway/tests/unit/catalogue/world.rs
+++ b/crates/gateway/tests/unit/catalogue/world.rs
@@ -528,7 +528,7 @@
         self.outcomes.note_order(&key, order, reply, served);
         let history = self.history.entry(key).or_default();
         history.push(format!("{now} {order}: {reply:?}"));
-        gw.with_fleet(&order.engine, |f| f.note_reply(order, reply, gw.now()));
+        gw.with_fleet(&order.engine, |f| f.record_reply(order, reply, gw.now()));
         if reply == OrderReply::Done && order.drops_adapter() {
             working.end(&start);
             gw.plan_now.notify_one();
--- a/crates/gateway/tests/unit/mesh.rs
+++ b/crates/gateway/tests/unit/mesh.rs
@@ -249,10 +249,10 @@
     let model = Tag::of_model(&Model::from_text("m").expect("a valid name"), None);
     let unmet = Unmet {
         waited: 100,
-        last: 100,
-        tries: 1,
-        next: 900,
-        back: 1_900,
+        last_age: 100,
+        attempts: 1,
+        next_retry: 900,
+        last_retry: 1_900,
     };
     let note = LoadNote {
         planner: Some(PlannerNote {
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -13,7 +13,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use shaleline_edge::{Clock, Time};
-use shaleline_fleet::{ClaimAction, ClaimView};
+use shaleline_fleet::{PlannerLeaseAction, PlannerLeaseView};
 use shaleline_route::{Ask, Limits, Route, RouteEvent, Terms};
 use shaleline_types::{DataCentre, Incarnation, Org, RequestId, Service, Upstream};
 use std::net::SocketAddr;
@@ -109,12 +109,12 @@
 }
 
 /// Nobody has claimed anything yet.
-fn nobody() -> ClaimView {
-    ClaimView {
+fn nobody() -> PlannerLeaseView {
+    PlannerLeaseView {
         end: 0,
         holder: None,
         released: false,
-        handed: false,
+        has_handover: false,
     }
 }
 
@@ -126,8 +126,8 @@
         daemon.hand.0.set(daemon.hand.0.get() + 100);
         let now = daemon.gw.now();
         match claim.tick(now) {
-            Some(ClaimAction::Read) => claim.on_read(&nobody(), now),
-            Some(ClaimAction::Append { end, .. }) => claim.on_appended(end, now),
+            Some(PlannerLeaseAction::Read) => claim.on_read(&nobody(), now),
+            Some(PlannerLeaseAction::Append { end, .. }) => claim.on_appended(end, now),
             None => {}
         }
         if let Some(fence) = claim.fence(daemon.gw.now()) {
