--- a/crates/bench/src/admission.rs
+++ b/crates/bench/src/admission.rs
@@ -3,7 +3,7 @@
 use crate::allowances::TOLERANCE;
 use crate::costs::resident_kb;
 use serde::Serialize;
-use shaleline_gateway::{Counting, OrgRule, Orgs};
+use shaleline_gateway::{CostUnit, OrgRule, Orgs};
 use shaleline_route::{Allowance, Credits, Draw, DrawStep, Granter, Part};
 use shaleline_types::{KeyHash, Millis, Org};
 use std::hint::black_box;
@@ -38,7 +38,7 @@
                 rate: 1e9,
                 burst: 1e9,
             }),
-            counting: Counting::Tokens { plain: 200 },
+            counting: CostUnit::Tokens { plain: 200 },
         };
         let keys = (0..KEYS).map(|k| KeyHash::from_key(&key(org, k)));
         (rule, keys.collect())
--- a/crates/daemon/src/bin/shalelined.rs
+++ b/crates/daemon/src/bin/shalelined.rs
@@ -6,7 +6,7 @@
 use actix_rt::signal::unix::{signal, SignalKind};
 use eyre::{Result, WrapErr};
 use shaleline_daemon::{start_logging, Daemon, Settings};
-use shaleline_gateway::{start, start_journal, Border, Running};
+use shaleline_gateway::{start, start_journal, Platform, Running};
 use shaleline_platform::{NodeFile, PlatformCodec, PlatformStore, StoreSettings, NODE_FILE};
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -62,7 +62,7 @@
             address: node.store,
             timeout: node.gateway.policy.store_timeout,
         });
-        let border = Border {
+        let border = Platform {
             codec: Box::new(PlatformCodec),
             store: Box::new(store),
         };
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -32,7 +32,7 @@
 ///
 /// An unknown key is refused for good only where the configuration is known as of `apply` ago: it
 /// may have been added since.
-pub(crate) fn judge<'a>(
+pub(crate) fn authenticate<'a>(
     orgs: Option<&'a Orgs>,
     rule: &RouteRule,
     head: &Head,
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -21,7 +21,7 @@
     }
 
     /// Whom a request is from by the configuration in force now.
-    pub(crate) fn judge<'a>(
+    pub(crate) fn authenticate<'a>(
         &self,
         table: &'a Table,
         rule: &RouteRule,
@@ -30,16 +30,16 @@
         let bounds = self.bounds.borrow();
         let (revocation, apply) = (bounds.revocation, bounds.apply);
         let orgs = table.orgs.as_ref();
-        let org = admission::judge(orgs, rule, head, revocation, apply, self.config_age());
+        let org = admission::authenticate(orgs, rule, head, revocation, apply, self.config_age());
         org.map_err(Refusal::new)
     }
 
     /// Looks again whether a request that waited may be sent: its key may have been taken away.
-    pub(crate) fn readmit(&self, job: &Job) -> Result<(), Refusal> {
+    pub(crate) fn recheck(&self, job: &Job) -> Result<(), Refusal> {
         let Some(table) = self.table() else {
             return Err(Refusal::new(ErrorKind::NotReady));
         };
-        let org = self.judge(&table, &job.rule, &job.head)?;
+        let org = self.authenticate(&table, &job.rule, &job.head)?;
         match org.map(|o| &o.name) == job.org.as_ref() {
             true => Ok(()),
             false => Err(Refusal::new(ErrorKind::KeyUnknown)),
--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -176,8 +176,8 @@
             allowances.next += 1;
             let org = org.clone();
             allowances.asked.insert(id, Asked { org, tell });
-            let life = self.me.life;
-            (Ticket { life, id }, held)
+            let incarnation = self.me.life;
+            (Ticket { incarnation, id }, held)
         };
         let message = Message::Draw {
             ticket,
@@ -222,7 +222,14 @@
     }
 
     /// Answers a daemon that needs a part of an allowance.
-    pub(crate) fn take_draw(&self, from: &Sender, ticket: Ticket, org: &Org, cost: u64, held: u64) {
+    pub(crate) fn handle_draw(
+        &self,
+        from: &Sender,
+        ticket: Ticket,
+        org: &Org,
+        cost: u64,
+        held: u64,
+    ) {
         let allowance = self.table().and_then(|t| t.allowance(org));
         let grant = allowance.map(|a| self.grant(org, &a, cost, held));
         let reply = match grant {
@@ -236,8 +243,8 @@
     }
 
     /// Takes in a granter's answer. What comes too late for its request goes back.
-    pub(crate) fn take_drawn(&self, from: &Sender, ticket: Ticket, reply: DrawReply) {
-        let asked = match ticket.life == self.me.life {
+    pub(crate) fn handle_draw_reply(&self, from: &Sender, ticket: Ticket, reply: DrawReply) {
+        let asked = match ticket.incarnation == self.me.life {
             true => self.allowances.borrow_mut().asked.remove(&ticket.id),
             false => None,
         };
@@ -261,12 +268,12 @@
                 };
                 self.send(vec![(*granter, message)]);
             }
-            None => self.take_given_back(org, *cost),
+            None => self.handle_refund(org, *cost),
         }
     }
 
     /// Takes back what was granted here.
-    pub(crate) fn take_given_back(&self, org: &Org, amount: u64) {
+    pub(crate) fn handle_refund(&self, org: &Org, amount: u64) {
         let Some(allowance) = self.table().and_then(|t| t.allowance(org)) else {
             return;
         };
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,13 +1,13 @@
 //! One send of a request to one upstream.
 
-use crate::ended::Sent;
+use crate::crash_probe::SentAttempt;
 use crate::job::Job;
 use crate::journal::emit;
 use crate::refuse::log_end;
 use crate::relay;
 use crate::request::Permit;
 use crate::state::Gateway;
-use crate::{AnswerHead, Passage};
+use crate::{AnswerHead, ForwardContext};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response, StatusCode};
@@ -49,7 +49,7 @@
 }
 
 /// How long to keep a connection on which this answer came.
-pub(crate) fn keep_of(answer: &AnswerHead) -> Duration {
+pub(crate) fn idle_timeout(answer: &AnswerHead) -> Duration {
     match answer.keep {
         None => KEEP,
         Some(keep) if keep > 2 * KEEP_MARGIN => keep - KEEP_MARGIN,
@@ -103,7 +103,7 @@
     upstream: &Upstream,
     resume: Option<&str>,
 ) -> Request<Full<Bytes>> {
-    let passage = Passage {
+    let passage = ForwardContext {
         left: shaleline_types::Millis(job.deadline.since(gw.now()).max(1)),
         upstream: upstream.clone(),
         org: job.org.clone(),
@@ -135,7 +135,7 @@
     let status = exchange.status();
     let headers = exchange.head().headers();
     let answer = gw.codec.answer(status, headers);
-    let headers = gw.codec.back(headers);
+    let headers = gw.codec.response_headers(headers);
     note_load(gw, upstream, &answer);
     let own = answer.id.as_deref().is_none_or(|id| id == job.head.id);
     let proven = answer.signed && answer.id.is_some();
@@ -169,7 +169,7 @@
 async fn drain(mut exchange: Exchange, answer: &AnswerHead) {
     const SMALL: usize = 16_384;
     if exchange.collect(SMALL).await.is_ok() {
-        exchange.finish(keep_of(answer));
+        exchange.finish(idle_timeout(answer));
     }
 }
 
@@ -204,7 +204,7 @@
     permit.sends += 1;
     permit.reached += 1;
     permit.last = Some(upstream.clone());
-    let sent = gw.send_to(attempt, upstream);
+    let sent = gw.begin_send(attempt, upstream);
     let result = if job.rule.repeat.is_stream() {
         let opened = first_piece(gw, job, &mut permit, upstream).await;
         match opened {
@@ -228,11 +228,11 @@
     gw: &Gateway,
     job: &Job,
     permit: &mut Permit,
-    sent: &Sent,
+    sent: &SentAttempt,
     failure: Failure,
 ) {
     let broke = matches!(failure, Failure::Broken | Failure::Garbled);
-    let failure = match broke && gw.has_ended(sent).await {
+    let failure = match broke && gw.has_crashed(sent).await {
         true => Failure::Ended,
         false => failure,
     };
@@ -244,10 +244,10 @@
     gw: &Gateway,
     job: &Job,
     permit: &mut Permit,
-    sent: &Sent,
+    sent: &SentAttempt,
     failure: Failure,
 ) {
-    let Sent {
+    let SentAttempt {
         attempt,
         upstream,
         start,
@@ -258,12 +258,12 @@
     let misdirected = Failure::Refused(StatusCode::MISDIRECTED_REQUEST.as_u16());
     if let (true, Some(model)) = (failure == misdirected, &job.head.model) {
         let adapter = job.head.adapter.as_ref();
-        gw.tell_missing(permit.id(), upstream, model, adapter);
+        gw.report_missing(permit.id(), upstream, model, adapter);
     }
     if failure == Failure::NotSent && job.head.model.is_some() {
         gw.with_fleet(upstream, |f| f.note_unreachable(upstream, gw.now()));
     }
-    if gw.lines.take(gw.now()) {
+    if gw.log_budget.take(gw.now()) {
         let detail = format!(
             "id={} request={} upstream={upstream} start={start} send={attempt} failure={failure:?} \
              first_ms={} route={}",
@@ -320,7 +320,7 @@
         headers,
         status,
     } = opened;
-    exchange.finish(keep_of(&answer));
+    exchange.finish(idle_timeout(&answer));
     let mut reply = Response::new(ReplyBody::from_bytes(body));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
@@ -377,7 +377,7 @@
     gw: &Rc<Gateway>,
     job: &Rc<Job>,
     mut permit: Permit,
-    sent: Sent,
+    sent: SentAttempt,
     begun: Begun,
 ) -> Ended {
     permit.first_byte(sent.attempt);
@@ -406,7 +406,7 @@
     gw: &Gateway,
     job: &Job,
     mut permit: Permit,
-    sent: &Sent,
+    sent: &SentAttempt,
     mut opened: Opened,
     first: Option<Bytes>,
 ) -> Ended {
@@ -421,6 +421,6 @@
     let mut reply = Response::new(ReplyBody::from_bytes(body.into()));
     *reply.status_mut() = opened.status;
     *reply.headers_mut() = opened.headers;
-    opened.exchange.finish(keep_of(&opened.answer));
+    opened.exchange.finish(idle_timeout(&opened.answer));
     finish(gw, job, permit, sent.attempt, reply, opened.status)
 }
--- a/crates/gateway/src/claiming.rs
+++ b/crates/gateway/src/claiming.rs
@@ -27,12 +27,12 @@
 pub(crate) fn next_claim(gw: &Gateway) -> Option<ClaimAction> {
     let now = gw.now();
     // Hubs know what is asked for, as far as they hear the others.
-    let hub = gw.mesh.borrow_mut().is_hub(now) && gw.hearing.borrow().may_claim(now);
-    let candidate = hub || gw.claim.borrow().is_holder();
-    if !gw.settings.policy.plans || !candidate || !gw.settled.get() {
+    let hub = gw.mesh.borrow_mut().is_hub(now) && gw.quorum.borrow().may_claim(now);
+    let candidate = hub || gw.planner_lease.borrow().is_holder();
+    if !gw.settings.policy.plans || !candidate || !gw.hub_ready.get() {
         return None;
     }
-    gw.claim.borrow_mut().tick(now)
+    gw.planner_lease.borrow_mut().tick(now)
 }
 
 /// Takes a step that was decided at `asked`.
@@ -46,7 +46,7 @@
 async fn read(gw: &Gateway) {
     let newest = gw.store.newest(Topic::Planner).await;
     gw.metrics.count_store("planner", newest.is_ok());
-    let mut claim = gw.claim.borrow_mut();
+    let mut claim = gw.planner_lease.borrow_mut();
     let now = gw.now();
     match newest.as_ref().map(to_view) {
         Ok((view, last)) => {
@@ -110,7 +110,7 @@
         .append(Topic::Planner, KEY, &value, Some(end))
         .await;
     gw.metrics.count_store("planner", result.is_ok());
-    let mut claim = gw.claim.borrow_mut();
+    let mut claim = gw.planner_lease.borrow_mut();
     match result {
         Ok(offset) => claim.on_appended(offset, started),
         Err(StoreError::Moved(_)) => claim.on_moved(),
@@ -126,23 +126,25 @@
 /// What a successor has to know of this planner.
 fn handover(gw: &Gateway, working: &Working) -> Handover {
     let window = working.window.borrow();
-    gw.ordered.borrow().to_handover(window.as_ref(), gw.now())
+    gw.last_orders
+        .borrow()
+        .to_handover(window.as_ref(), gw.now())
 }
 
 /// Whether this daemon gives the claim up, as it hears too few of the others.
 pub(crate) fn gives_up(gw: &Gateway) -> bool {
     let now = gw.now();
     let hears = gw.mesh.borrow_mut().hears_enough(now);
-    let holds = gw.claim.borrow().is_holder();
-    let mut hearing = gw.hearing.borrow_mut();
+    let holds = gw.planner_lease.borrow().is_holder();
+    let mut hearing = gw.quorum.borrow_mut();
     hearing.observe(hears, holds, now);
     holds && hearing.gives_up(now)
 }
 
 /// Gives the claim up, so that a successor need not wait until it lapses.
 pub(crate) async fn release(gw: &Gateway, working: &Working, reason: &str) {
-    let held = gw.claim.borrow().is_holder();
-    gw.claim.borrow_mut().step_down();
+    let held = gw.planner_lease.borrow().is_holder();
+    gw.planner_lease.borrow_mut().step_down();
     if held {
         let last = handover(gw, working);
         let value = record(gw, Some(last));
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -59,7 +59,7 @@
 
 /// What the gateway adds to a request that it passes on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Passage {
+pub struct ForwardContext {
     /// The time that is left.
     pub left: Millis,
     /// The upstream that is meant, so that another at its address refuses.
@@ -145,13 +145,13 @@
     fn head(&self, headers: &HeaderMap) -> Result<Head, Malformed>;
 
     /// The headers of a request as they are passed on.
-    fn forward(&self, headers: &HeaderMap, passage: &Passage) -> HeaderMap;
+    fn forward(&self, headers: &HeaderMap, passage: &ForwardContext) -> HeaderMap;
 
     /// Reads the head of an upstream's answer.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
     /// The headers of an answer as they are passed back.
-    fn back(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// The headers of the gateway's own answers: the request and when to come back.
     fn refusal(&self, id: &str, retry: Option<Millis>) -> HeaderMap;
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -118,7 +118,7 @@
         "ready": gw.is_ready(),
         "stopping": gw.stopping.get(),
         "config": gw.table().map(|t| t.version),
-        "fence": gw.claim.borrow().fence(now),
+        "fence": gw.planner_lease.borrow().fence(now),
         "daemons": gw.mesh.borrow().alive(),
         "hub": gw.mesh.borrow_mut().is_hub(now),
         "requests": {"open": stats.open, "waiting": stats.waiting, "sent": stats.sent,
--- a/crates/gateway/src/ended.rs
+++ b/crates/gateway/src/crash_probe.rs
@@ -28,11 +28,11 @@
 
 /// What was seen of upstreams to which sends broke off.
 #[derive(Debug, Default)]
-pub(crate) struct Ends {
+pub(crate) struct CrashProbes {
     looks: HashMap<StartTag, (Millis, Seen)>,
 }
 
-impl Ends {
+impl CrashProbes {
     /// The look at a start of an upstream, which sends that break off together share.
     fn look(&mut self, start: StartTag, now: Millis) -> Seen {
         self.looks.retain(|_, (at, _)| now.since(*at) < SAME_MS);
@@ -46,7 +46,7 @@
 
 /// One send: to which upstream, and which start of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub(crate) attempt: AttemptNumber,
     pub(crate) upstream: Upstream,
     pub(crate) start: StartTag,
@@ -55,10 +55,10 @@
 impl Gateway {
     /// A send that begins now. Which start of the upstream it is for is asked before it: when the
     /// send breaks off, the next start may be known already.
-    pub(crate) fn send_to(&self, attempt: AttemptNumber, upstream: &Upstream) -> Sent {
+    pub(crate) fn begin_send(&self, attempt: AttemptNumber, upstream: &Upstream) -> SentAttempt {
         let listed = self.roster.borrow().get(upstream).map(|e| e.incarnation);
         let incarnation = listed.unwrap_or_default();
-        Sent {
+        SentAttempt {
             attempt,
             start: StartTag::of(upstream, self.latest(upstream, incarnation)),
             upstream: upstream.clone(),
@@ -75,7 +75,7 @@
     }
 
     /// Whether the upstream ended under a send that broke off there.
-    pub(crate) async fn has_ended(&self, sent: &Sent) -> bool {
+    pub(crate) async fn has_crashed(&self, sent: &SentAttempt) -> bool {
         // One that leaves ends as planned, whatever it still does.
         if self.roster.borrow().is_leaving(&sent.upstream) {
             return false;
@@ -83,7 +83,7 @@
         let Some(target) = self.target(&sent.upstream) else {
             return false;
         };
-        let seen = self.ends.borrow_mut().look(sent.start, self.now());
+        let seen = self.crash_probes.borrow_mut().look(sent.start, self.now());
         let reach = seen.get_or_init(|| async {
             let mut reach = Reach::Silent;
             for limit in LIMITS {
@@ -97,7 +97,7 @@
         *reach.await == Reach::Refused
     }
 
-    fn log_look(&self, sent: &Sent, reach: Reach) {
+    fn log_look(&self, sent: &SentAttempt, reach: Reach) {
         if reach != Reach::Refused {
             return;
         }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -34,21 +34,21 @@
 /// One that did not answer is not asked for so long.
 const DOUBT_MS: u64 = 1_000;
 
-/// A request among those of all daemons: the life of its daemon, and its number there.
+/// A request among those of all daemons: the incarnation of its daemon, and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Ticket {
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) id: u64,
 }
 
 /// What a request asks for, as it is told.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Asks {
+pub(crate) enum RouteNote {
     Model(Model, Option<Adapter>),
     Service(Service),
 }
 
-impl Asks {
+impl RouteNote {
     fn of(route: &Route) -> Self {
         match route {
             Route::Model { model, adapter } => Self::Model(model.clone(), adapter.clone()),
@@ -67,7 +67,7 @@
 /// A request that asks for an upstream. Times are spans, as no two daemons share a clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AskNote {
-    asks: Asks,
+    route: RouteNote,
     priority: u8,
     cost: u64,
     prefix: Vec<u64>,
@@ -94,7 +94,7 @@
 impl AskNote {
     pub(crate) fn of(ask: &Ask, now: Millis) -> Self {
         Self {
-            asks: Asks::of(&ask.route),
+            route: RouteNote::of(&ask.route),
             priority: ask.priority,
             cost: ask.cost,
             prefix: ask.prefix.clone(),
@@ -116,7 +116,7 @@
         Ask {
             id,
             org,
-            route: self.asks.into_route(),
+            route: self.route.into_route(),
             priority: self.priority,
             weight: 1,
             cost: self.cost,
@@ -140,7 +140,7 @@
 
 /// What became of a request, told to whoever chose its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Progressed {
+pub(crate) enum ProgressNote {
     /// The first byte of its answer came.
     FirstByte(AttemptNumber),
     /// Its send ended.
@@ -255,7 +255,7 @@
 #[derive(Debug, Clone)]
 enum Stage {
     /// It was asked for, so long ago; whether again.
-    Asked { since: Millis, again: bool },
+    Requested { since: Millis, again: bool },
     /// It waits there; when that was asked last, and how often in vain.
     Queued { asked: Millis, in_vain: u32 },
     /// It is being sent.
@@ -286,18 +286,18 @@
 
 /// The requests of this daemon that others choose for.
 #[derive(Debug)]
-pub(crate) struct Asked {
-    life: u64,
+pub(crate) struct DelegatedRequests {
+    incarnation: u64,
     remote: BTreeMap<RequestId, Remote>,
     /// Those that did not answer, and until when they are not asked.
     doubt: BTreeMap<SocketAddr, Millis>,
     ticked: Millis,
 }
 
-impl Asked {
-    pub(crate) fn new(life: u64, now: Millis) -> Self {
+impl DelegatedRequests {
+    pub(crate) fn new(incarnation: u64, now: Millis) -> Self {
         Self {
-            life,
+            incarnation,
             remote: BTreeMap::new(),
             doubt: BTreeMap::new(),
             ticked: now,
@@ -311,17 +311,17 @@
 
     fn ticket(&self, id: RequestId) -> Ticket {
         Ticket {
-            life: self.life,
+            incarnation: self.incarnation,
             id: id.0,
         }
     }
 
-    /// Asks that daemon for an upstream.
+    /// RouteNote that daemon for an upstream.
     pub(crate) fn ask(&mut self, ask: Ask, to: SocketAddr, now: Millis) -> Message {
         let message = self.question(&ask, now);
         let remote = Remote {
             to,
-            stage: Stage::Asked {
+            stage: Stage::Requested {
                 since: now,
                 again: false,
             },
@@ -357,7 +357,7 @@
     ) -> Vec<RouteAction> {
         let id = RequestId(ticket.id);
         let remote = self.remote.get_mut(&id);
-        let Some(remote) = remote.filter(|_| ticket.life == self.life) else {
+        let Some(remote) = remote.filter(|_| ticket.incarnation == self.incarnation) else {
             return Vec::new();
         };
         let sent = matches!(remote.stage, Stage::Sent);
@@ -407,19 +407,19 @@
     pub(crate) fn report(
         &mut self,
         id: RequestId,
-        what: Progressed,
+        what: ProgressNote,
         now: Millis,
     ) -> Option<(SocketAddr, Message)> {
         let ticket = self.ticket(id);
         let remote = self.remote.get_mut(&id)?;
         let to = remote.to;
         match what {
-            Progressed::FirstByte(_) => {}
-            Progressed::Ended(_, EndNote::Whole | EndNote::Cancelled) | Progressed::Gone => {
+            ProgressNote::FirstByte(_) => {}
+            ProgressNote::Ended(_, EndNote::Whole | EndNote::Cancelled) | ProgressNote::Gone => {
                 self.remote.remove(&id);
             }
             // What comes next is said at once, or asked for.
-            Progressed::Ended(..) => {
+            ProgressNote::Ended(..) => {
                 remote.stage = Stage::Queued {
                     asked: now,
                     in_vain: 0,
@@ -429,18 +429,21 @@
         Some((to, Message::Progressed(ticket, what)))
     }
 
-    /// Asks again, and chooses here where nobody answers.
+    /// RouteNote again, and chooses here where nobody answers.
     pub(crate) fn tick(&mut self, now: Millis) -> Vec<Step> {
         // While this daemon got no time, answers waited as long.
         let late = now.since(self.ticked).saturating_sub(ASK_AGAIN_MS);
         self.ticked = now;
-        let life = self.life;
+        let incarnation = self.incarnation;
         let mut steps = Vec::new();
         let mut lost = Vec::new();
         for (id, remote) in &mut self.remote {
-            let ticket = Ticket { life, id: id.0 };
+            let ticket = Ticket {
+                incarnation,
+                id: id.0,
+            };
             match &mut remote.stage {
-                Stage::Asked { since, again } => {
+                Stage::Requested { since, again } => {
                     *since = since.plus(late);
                     let waited = now.since(*since);
                     if waited >= DECIDE_MS {
@@ -481,7 +484,7 @@
         };
         self.doubt.insert(remote.to, now.plus(DOUBT_MS));
         let ticket = self.ticket(id);
-        let gone = Message::Progressed(ticket, Progressed::Gone);
+        let gone = Message::Progressed(ticket, ProgressNote::Gone);
         steps.push(Step::Tell(remote.to, Box::new(gone)));
         steps.push(match remote.attempt {
             0 => Step::Decide(Box::new(remote.ask)),
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -48,7 +48,7 @@
                 // Before the first configuration there is nothing to wait at.
                 let empty = next.is_none() && batch.records.is_empty();
                 next = Some(batch.next);
-                let at = gw.came_at().max(asked);
+                let at = gw.earliest_arrival().max(asked);
                 note_read(&gw, batch.next, at, asked);
                 take_config(&gw, &batch);
                 if empty {
@@ -96,7 +96,7 @@
 
 /// Gives a daemon that starts the time to find out who the others are.
 async fn settle_first(gw: &Rc<Gateway>) {
-    let settled = || gw.settled.get();
+    let settled = || gw.hub_ready.get();
     while !settled() {
         tokio::time::sleep(SETTLE_LOOK).await;
     }
@@ -154,7 +154,7 @@
             return;
         }
         tokio::select! {
-            () = gw.marked.notified() => {}
+            () = gw.position_changed.notified() => {}
             () = tokio::time::sleep(LOOK) => {}
         }
     }
@@ -188,7 +188,7 @@
         wait_for_first(&gw, || gw.reading.borrow().is_marked()).await;
     }
     loop {
-        let every = gw.settings.policy.read_every.0;
+        let every = gw.settings.policy.read_interval.0;
         let reader = gw.is_reader();
         if !reader && (gw.follows() || copy_entries(&gw).await) {
             // What is changed meanwhile is told; the offset is not known.
@@ -207,11 +207,11 @@
             Ok(batch) => {
                 take_batch(&gw, &batch, next.is_none());
                 next = Some(batch.next);
-                gw.entries_next.set(batch.next);
-                gw.listed.set(true);
-                let at = gw.came_at().max(asked);
+                gw.entries_offset.set(batch.next);
+                gw.upstreams_known.set(true);
+                let at = gw.earliest_arrival().max(asked);
                 gw.reading.borrow_mut().on_entries(position, at);
-                let jitter = gw.draw() % (every / 8 + 1);
+                let jitter = gw.random() % (every / 8 + 1);
                 tokio::time::sleep(Duration::from_millis(every - jitter)).await;
             }
             Err(StoreError::Gap) => next = None,
@@ -254,8 +254,8 @@
     let changes = roster.on_all(seen.collect(), next, now);
     drop(roster);
     gw.apply_all(changes);
-    gw.entries_next.set(gw.entries_next.get().max(next));
-    gw.listed.set(true);
+    gw.entries_offset.set(gw.entries_offset.get().max(next));
+    gw.upstreams_known.set(true);
     gw.reading.borrow_mut().on_copied(life, number, at);
     true
 }
@@ -270,7 +270,7 @@
     /// follows.
     fn follows(&self) -> bool {
         let reading = self.reading.borrow();
-        self.listed.get() && reading.follows_entries(self.freshness(), self.now())
+        self.upstreams_known.get() && reading.follows_entries(self.freshness(), self.now())
     }
 
     /// How far the configuration is known through the one that this daemon follows.
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -150,7 +150,7 @@
 
 /// What this daemon tells of itself as the planner; none where it is not.
 pub(crate) fn planner_note(gw: &Gateway, now: Millis) -> Option<PlannerNote> {
-    let claim = gw.claim.borrow();
+    let claim = gw.planner_lease.borrow();
     let (fence, renewed) = (claim.fence(now)?, claim.renewed()?);
     let note = PlannerNote {
         fence,
@@ -255,7 +255,7 @@
         Message::Hello => greet(gw, &from, now),
         Message::Members(note) => {
             gw.mesh.borrow_mut().on_members(&note, now);
-            gw.introduced.set(true);
+            gw.hubs_known.set(true);
         }
         Message::Changes { number, entries } => {
             let next = gw.reading.borrow_mut().on_changes(from.life, number);
@@ -268,27 +268,29 @@
                 gw.take_entries(seen.collect(), now);
             }
         }
-        Message::Ask(ticket, note) => gw.take_ask(&from, ticket, *note),
-        Message::Poll(ticket) => gw.take_poll(&from, ticket),
-        Message::Progressed(ticket, what) => gw.take_progressed(ticket, what),
-        Message::Open { requests, alive } => gw.take_open(&from, &requests, &alive),
-        Message::Answer(ticket, answer) => gw.take_answer(ticket, answer),
+        Message::Ask(ticket, note) => gw.handle_ask(&from, ticket, *note),
+        Message::Poll(ticket) => gw.handle_poll(&from, ticket),
+        Message::Progressed(ticket, what) => gw.handle_progress(ticket, what),
+        Message::Open { requests, alive } => gw.handle_open(&from, &requests, &alive),
+        Message::Answer(ticket, answer) => gw.handle_answer(ticket, answer),
         Message::Missing {
             engine,
             model,
             adapter,
-        } => gw.take_missing(&engine, &model, adapter.as_ref()),
+        } => gw.handle_missing(&engine, &model, adapter.as_ref()),
         Message::Draw {
             ticket,
             org,
             cost,
             held,
-        } => gw.take_draw(&from, ticket, &org, cost, held),
-        Message::Drawn(ticket, reply) => gw.take_drawn(&from, ticket, reply),
-        Message::GivenBack { org, amount } => gw.take_given_back(&org, amount),
+        } => gw.handle_draw(&from, ticket, &org, cost, held),
+        Message::Drawn(ticket, reply) => gw.handle_draw_reply(&from, ticket, reply),
+        Message::GivenBack { org, amount } => gw.handle_refund(&org, amount),
         Message::Resigned => gw.mesh.borrow_mut().on_resigned(&from),
         Message::Want { model, adapter } => {
-            gw.wants.borrow_mut().insert((model, adapter), now);
+            gw.wanted_adapters
+                .borrow_mut()
+                .insert((model, adapter), now);
             gw.plan_now.notify_one();
         }
         Message::News(news) => {
@@ -322,7 +324,7 @@
     let Some(mark) = mark.filter(|_| follows) else {
         return;
     };
-    let came = gw.came_at();
+    let came = gw.earliest_arrival();
     let mut reading = gw.reading.borrow_mut();
     reading.on_mark(from.life, mark, came);
     let echo = echo.filter(|e| e.life == gw.me.life);
@@ -333,7 +335,7 @@
         reading.on_certain(mark.config, at);
     }
     drop(reading);
-    gw.marked.notify_waiters();
+    gw.position_changed.notify_waiters();
 }
 
 /// Tells a daemon that starts who the hubs are, once this one knows.
@@ -348,7 +350,9 @@
     let mine = gw.mesh.borrow().address();
     if let Some(planner) = note.filter(|p| p.address != mine) {
         let began = gw.now().0.saturating_sub(u64::from(planner.age));
-        gw.claim.borrow_mut().heard(planner.end, Millis(began));
+        gw.planner_lease
+            .borrow_mut()
+            .heard(planner.end, Millis(began));
     }
 }
 
@@ -417,7 +421,7 @@
                 Concerns::Hubs
             }
             News::Released => {
-                self.claim.borrow_mut().on_release_heard();
+                self.planner_lease.borrow_mut().on_release_heard();
                 self.mesh.borrow_mut().on_released();
                 Concerns::Hubs
             }
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -112,7 +112,7 @@
     Some(EntriesCopy {
         life: gw.me.life,
         number: reading.number(),
-        next: gw.entries_next.get(),
+        next: gw.entries_offset.get(),
         disturbed: roster.is_disturbed(gw.now()),
         age: gw.now().since(at),
         entries: entries.collect(),
@@ -187,11 +187,11 @@
         let asked = gw.now();
         match ask::<T>(gw, peer, path, most).await {
             Ok(copy) => {
-                let came = gw.came_at().max(asked);
+                let came = gw.earliest_arrival().max(asked);
                 let at = Millis(came.0.saturating_sub(copy.age()));
                 return Some(Taken { copy, at, asked });
             }
-            Err(reason) if gw.lines.take(gw.now()) => {
+            Err(reason) if gw.log_budget.take(gw.now()) => {
                 let detail = format!("peer={peer} path={path} reason={reason:?}");
                 emit(LogEvent::CopyMissed, &detail);
             }
--- a/crates/gateway/src/lead.rs
+++ b/crates/gateway/src/lead.rs
@@ -3,7 +3,7 @@
 use crate::claiming::{act, gives_up, next_claim, release, Inherited};
 use crate::journal::emit;
 use crate::orders::{carry_out, look, watch};
-use crate::request::ADAPTER;
+use crate::request::ADAPTER_RETRY;
 use crate::state::{EngineStart, Gateway};
 use crate::tags::TagBook;
 use shaleline_fleet::{
@@ -132,7 +132,7 @@
 /// Plans where it is this daemon's turn: the orders to give now, none where nothing was planned.
 pub(crate) fn step(gw: &Gateway, working: &Working, woken: bool) -> Option<Vec<(Service, Order)>> {
     let now = gw.now();
-    let fence = gw.claim.borrow().fence(now);
+    let fence = gw.planner_lease.borrow().fence(now);
     if fence.is_some() != working.leading.replace(fence.is_some()) {
         let event = match fence {
             Some(_) => LogEvent::LeaseTaken,
@@ -148,8 +148,8 @@
         emit(LogEvent::PlannerKnows, &gw.mesh.borrow_mut().knowledge(now));
     }
     let since = now.since(working.planned.get());
-    let due = since >= gw.settings.policy.plan_every.0;
-    let wanted = (woken || !gw.wants.borrow().is_empty()) && since >= WANT_PLAN_MS;
+    let due = since >= gw.settings.policy.plan_interval.0;
+    let wanted = (woken || !gw.wanted_adapters.borrow().is_empty()) && since >= WANT_PLAN_MS;
     let fence = fence.filter(|_| due || wanted)?;
     working.planned.set(now);
     Some(plan(gw, working, fence, now))
@@ -188,7 +188,7 @@
         // The claim had lapsed for a moment, and nobody else held it meanwhile.
         return;
     }
-    gw.told.borrow_mut().clear();
+    gw.announced.borrow_mut().clear();
     let bounds = gw.bounds.borrow();
     let mut window = LoadWindow::new(bounds.load_window, bounds.load_over);
     let now = gw.now();
@@ -198,9 +198,9 @@
         working.lead.set(Some(lead));
     } else if let Some(inherited) = inherited(gw, fence) {
         window = window.resume(&inherited.last, inherited.read);
-        let mut ordered = gw.ordered.borrow_mut();
+        let mut ordered = gw.last_orders.borrow_mut();
         ordered.inherit(&inherited.last, inherited.read);
-        let resting = ordered.resting(gw.claim.borrow().rest(), now);
+        let resting = ordered.resting(gw.planner_lease.borrow().rest(), now);
         let detail = format!(
             "resting={} loads={}",
             resting.len(),
@@ -210,7 +210,7 @@
         *working.resting.borrow_mut() = resting;
     } else {
         working.succeeded.set(Some(now));
-        let lapsed = gw.claim.borrow().rest();
+        let lapsed = gw.planner_lease.borrow().rest();
         window.block(now.plus(window.span().0.saturating_sub(lapsed.0)));
     }
     *working.window.borrow_mut() = Some(window);
@@ -239,7 +239,7 @@
         named.map(|(key, u)| (key, u.aged(age))).collect()
     });
     let mut unmet: UnmetByKey = unmet.unwrap_or_default();
-    let mut wants = gw.wants.borrow_mut();
+    let mut wants = gw.wanted_adapters.borrow_mut();
     wants.retain(|_, at| now.since(*at) < WANT_MS);
     for ((model, adapter), at) in wants.iter() {
         let key = (model.clone(), Some(adapter.clone()));
@@ -247,7 +247,7 @@
         rate.work = rate.work.max(WANT_RATE);
         let age = now.since(*at) as u32;
         // Whoever waits for it is told to come back, or waits on, for so long.
-        let back = (ADAPTER.0 as u32).saturating_sub(age);
+        let back = (ADAPTER_RETRY.0 as u32).saturating_sub(age);
         let wanted = Unmet {
             waited: age,
             last: age,
@@ -316,7 +316,7 @@
             PlanNote::Away { .. } => LogEvent::ModelAway,
             PlanNote::Waiting { .. } => LogEvent::AdapterAway,
             PlanNote::Back { away, .. } => {
-                gw.metrics.note_away(away.0);
+                gw.metrics.note_unserved(away.0);
                 LogEvent::ModelBack
             }
         };
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -69,7 +69,7 @@
     pub(crate) async fn pause(&self, gw: &Gateway, hub: bool, enough: impl Fn() -> bool) {
         let doublings = self.failures.saturating_sub(1).min(DOUBLINGS);
         let least = if hub { PAUSE_MS } else { PAUSE_MS << doublings };
-        let wait = Duration::from_millis(least + gw.draw() % least);
+        let wait = Duration::from_millis(least + gw.random() % least);
         let end = tokio::time::Instant::now() + wait;
         while tokio::time::Instant::now() < end && !enough() {
             tokio::time::sleep_until(end.min(tokio::time::Instant::now() + LOOK)).await;
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -71,7 +71,7 @@
     if gw.settings.first_start {
         wait_for(heard, SETTLE).await;
     }
-    gw.settled.set(true);
+    gw.hub_ready.set(true);
     while !listed {
         tokio::time::sleep(HUB_LOOK).await;
         let now = gw.now();
@@ -86,7 +86,7 @@
 async fn greet(gw: &Gateway) -> bool {
     let seeds = gw.settings.seeds.iter();
     let others: Vec<SocketAddr> = seeds.copied().filter(|s| *s != gw.me.address).collect();
-    let met = || gw.introduced.get() || gw.mesh.borrow().has_heard();
+    let met = || gw.hubs_known.get() || gw.mesh.borrow().has_heard();
     let start = tokio::time::Instant::now();
     while start.elapsed() < NO_ANSWER {
         let hello = others.iter().map(|seed| (*seed, Message::Hello));
--- a/crates/gateway/src/mesh.rs
+++ b/crates/gateway/src/mesh.rs
@@ -8,13 +8,13 @@
 //!
 //! The ways that were weighed are in `docs/MEMBERSHIP.md`.
 
-use crate::chooser::Chooser;
 use crate::message::{
     AskedNote, Echo, HubNote, LoadNote, Mark, MembersNote, Message, PlannerNote, Sender,
     UpstreamNotes,
 };
 use crate::peers::Peers;
 use crate::seats::{Seats, SILENT_MS};
+use crate::selector::Selector;
 use shaleline_types::{DataCentre, Instance, Millis};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -233,15 +233,15 @@
         key: &str,
         answers: impl Fn(SocketAddr) -> bool,
         now: Millis,
-    ) -> Chooser {
+    ) -> Selector {
         let sits = self.sits(now);
         let hubs = match (sits, self.known_total(now)) {
             (true, _) => self.heard_hubs(now),
             (false, Some(_)) => self.hubs.clone(),
             (false, None) => Vec::new(),
         };
-        match Chooser::of(key, hubs, answers, self.me.address) {
-            Chooser::Nobody if sits => Chooser::Me,
+        match Selector::of(key, hubs, answers, self.me.address) {
+            Selector::NoHub if sits => Selector::Local,
             chooser => chooser,
         }
     }
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,6 +1,6 @@
 //! What daemons tell each other: small datagrams, any of which may be lost.
 
-use crate::dispatch::{Answer, AskNote, Progressed, Ticket};
+use crate::dispatch::{Answer, AskNote, ProgressNote, Ticket};
 use crate::Entry;
 use serde::{Deserialize, Serialize};
 use shaleline_fleet::{Held, Rate, Unmet};
@@ -62,7 +62,7 @@
     /// To the same: what became of the question?
     Poll(Ticket),
     /// To the same: what became of the request.
-    Progressed(Ticket, Progressed),
+    Progressed(Ticket, ProgressNote),
     /// To the same, now and then: the requests that are open, and the upstreams from which bytes
     /// came since.
     Open { requests: Vec<u64>, alive: Vec<Tag> },
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -24,11 +24,11 @@
     named: RefCell<BTreeSet<Org>>,
     store: Counter<u64>,
     /// Calls since the last summary, by topic.
-    lately: RefCell<BTreeMap<&'static str, u64>>,
+    recent_calls: RefCell<BTreeMap<&'static str, u64>>,
     orders: Counter<u64>,
     first: Histogram<f64>,
     wait: Histogram<f64>,
-    away: Histogram<f64>,
+    unserved: Histogram<f64>,
     suspects: Gauge<u64>,
 }
 
@@ -62,11 +62,11 @@
                 .build(),
             named: RefCell::default(),
             store: meter.u64_counter("shaleline_store_calls").build(),
-            lately: RefCell::default(),
+            recent_calls: RefCell::default(),
             orders: meter.u64_counter("shaleline_orders").build(),
             first: first.with_description("arrival to first byte").build(),
             wait: wait.with_description("arrival to first send").build(),
-            away: away
+            unserved: away
                 .with_description("asked for in vain until served")
                 .build(),
             suspects: meter
@@ -99,14 +99,14 @@
 
     /// Counts a call to the store.
     pub(crate) fn count_store(&self, call: &'static str, ok: bool) {
-        *self.lately.borrow_mut().entry(call).or_default() += 1;
+        *self.recent_calls.borrow_mut().entry(call).or_default() += 1;
         let labels = [KeyValue::new("call", call), KeyValue::new("ok", ok)];
         self.store.add(1, &labels);
     }
 
     /// How often each topic was called since this was asked last, as `key=value` pairs.
     pub(crate) fn take_store_calls(&self) -> String {
-        let calls = std::mem::take(&mut *self.lately.borrow_mut());
+        let calls = std::mem::take(&mut *self.recent_calls.borrow_mut());
         let pairs = calls.iter().map(|(topic, n)| format!("{topic}={n}"));
         pairs.collect::<Vec<_>>().join(" ")
     }
@@ -125,8 +125,8 @@
     }
 
     /// Notes how long callers asked in vain for a model.
-    pub(crate) fn note_away(&self, millis: u64) {
-        self.away.record(millis as f64, &[]);
+    pub(crate) fn note_unserved(&self, millis: u64) {
+        self.unserved.record(millis as f64, &[]);
     }
 
     /// Notes how many requests are known under which upstreams ended, and how many of them are not
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,6 +1,6 @@
 //! Gives orders to engines and looks how they end.
 
-use crate::attempt::keep_of;
+use crate::attempt::idle_timeout;
 use crate::journal::emit;
 use crate::lead::Working;
 use crate::message::News;
@@ -40,7 +40,7 @@
     /// Whether an order may leave now: it is this daemon's turn, and the engine has not started
     /// again since the order was planned.
     fn may_order(&self, order: &Order) -> bool {
-        let leads = self.claim.borrow().fence(self.now()) == Some(order.fence);
+        let leads = self.planner_lease.borrow().fence(self.now()) == Some(order.fence);
         let same = self.start_of(&order.engine).1 == order.incarnation;
         leads && same && !self.stopping.get()
     }
@@ -87,7 +87,7 @@
             tokio::time::sleep(LOOK_AGAIN).await;
             look(gw, &order.engine).await;
         }
-        OrderReply::Fenced => gw.claim.borrow_mut().step_down(),
+        OrderReply::Fenced => gw.planner_lease.borrow_mut().step_down(),
         OrderReply::Elsewhere => gw.note_replaced(&order.engine),
         OrderReply::Accepted | OrderReply::Invalid | OrderReply::Lost => {}
     }
@@ -119,7 +119,7 @@
 
 /// Tells the others what an engine was seen to hold.
 pub(crate) fn tell_held(gw: &Gateway, engine: &Upstream, held: Held) {
-    let changed = gw.told.borrow_mut().is_news(engine, &held);
+    let changed = gw.announced.borrow_mut().is_news(engine, &held);
     gw.spread(&News::Held {
         engine: engine.clone(),
         held,
@@ -195,14 +195,14 @@
         let status = exchange.status();
         let answer = gw.codec.answer(status, exchange.head().headers());
         let body = exchange.collect(MOST_BYTES).await.ok()?;
-        exchange.finish(keep_of(&answer));
+        exchange.finish(idle_timeout(&answer));
         Some((status, body))
     };
     tokio::time::timeout(CALL_LIMIT, exchange).await.ok()?
 }
 
 async fn send_order(gw: &Gateway, order: &Order) -> OrderReply {
-    gw.ordered.borrow_mut().note(&order.engine, gw.now());
+    gw.last_orders.borrow_mut().note(&order.engine, gw.now());
     match call(gw, &order.engine, gw.codec.order(order)).await {
         Some((status, _)) => gw.codec.order_reply(status),
         None => OrderReply::Lost,
--- a/crates/gateway/src/orgs.rs
+++ b/crates/gateway/src/orgs.rs
@@ -7,7 +7,7 @@
 
 /// What one request counts as against its organisation's allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Counting {
+pub enum CostUnit {
     /// Each request counts as one.
     Requests,
     /// The tokens that it says it may take, or so many where it does not say.
@@ -27,7 +27,7 @@
     /// What it may use over all daemons; none without a limit.
     pub allowance: Option<Allowance>,
     /// What its requests count as.
-    pub counting: Counting,
+    pub counting: CostUnit,
 }
 
 impl OrgRule {
@@ -35,22 +35,22 @@
     #[must_use]
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.counting {
-            Counting::Requests => 1,
-            Counting::Tokens { plain } => tokens.unwrap_or(plain),
+            CostUnit::Requests => 1,
+            CostUnit::Tokens { plain } => tokens.unwrap_or(plain),
         }
     }
 }
 
 /// Why a list of organisations can't be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrgsFault {
+pub enum OrgsError {
     /// An organisation is listed twice.
     Repeated(Org),
     /// Two organisations hold one key.
     SharedKey(Org, Org),
 }
 
-impl fmt::Display for OrgsFault {
+impl fmt::Display for OrgsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Repeated(org) => write!(f, "organisation {org} is listed twice"),
@@ -74,18 +74,18 @@
     /// Where one is listed twice, or two hold one key: whose a request is would not be known.
     pub fn from_rules(
         rules: impl IntoIterator<Item = (OrgRule, Vec<KeyHash>)>,
-    ) -> Result<Self, OrgsFault> {
+    ) -> Result<Self, OrgsError> {
         let mut orgs = Self::default();
         for (rule, keys) in rules {
             let place = orgs.rules.len();
             if orgs.by_name.insert(rule.name.clone(), place).is_some() {
-                return Err(OrgsFault::Repeated(rule.name));
+                return Err(OrgsError::Repeated(rule.name));
             }
             for key in keys {
                 let before = orgs.by_key.insert(key, place).filter(|b| *b != place);
                 if let Some(before) = before {
                     let other = orgs.rules[before].name.clone();
-                    return Err(OrgsFault::SharedKey(other, rule.name));
+                    return Err(OrgsError::SharedKey(other, rule.name));
                 }
             }
             orgs.rules.push(rule);
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -13,7 +13,7 @@
 
 /// A daemon says which of its requests are open every so often; one that is missing there has
 /// ended, and word of that was lost.
-pub(crate) const OPEN_EVERY_MS: u64 = 600;
+pub(crate) const OPEN_INTERVAL_MS: u64 = 600;
 
 /// A daemon that has not done so for this long is gone, and its requests with it.
 const GONE_MS: u64 = 2_500;
@@ -32,7 +32,7 @@
 
 /// The requests of other daemons.
 #[derive(Debug, Default)]
-pub(crate) struct Desk {
+pub(crate) struct PeerRequests {
     by_ticket: BTreeMap<Ticket, RequestId>,
     guests: BTreeMap<RequestId, Guest>,
 }
@@ -40,7 +40,7 @@
 /// An answer and where it goes.
 pub(crate) type Reply = (SocketAddr, Ticket, Answer);
 
-impl Desk {
+impl PeerRequests {
     /// The number here of a request that was asked for.
     pub(crate) fn find(&self, ticket: Ticket) -> Option<RequestId> {
         let id = self.by_ticket.get(&ticket)?;
@@ -101,16 +101,21 @@
     }
 
     /// Takes in which requests of a daemon's life are open; those that ended unheard.
-    pub(crate) fn on_open(&mut self, life: u64, open: &[u64], now: Millis) -> Vec<RequestId> {
+    pub(crate) fn on_open(
+        &mut self,
+        incarnation: u64,
+        open: &[u64],
+        now: Millis,
+    ) -> Vec<RequestId> {
         let open: BTreeSet<u64> = open.iter().copied().collect();
         let mut ended = Vec::new();
         for (id, guest) in &mut self.guests {
-            if guest.ticket.life != life {
+            if guest.ticket.incarnation != incarnation {
                 continue;
             }
             if open.contains(&guest.ticket.id) {
                 guest.heard = now;
-            } else if now.since(guest.heard) >= OPEN_EVERY_MS && guest.ended.is_none() {
+            } else if now.since(guest.heard) >= OPEN_INTERVAL_MS && guest.ended.is_none() {
                 ended.push(*id);
             }
         }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -9,8 +9,8 @@
 //! nothing.
 
 use crate::admission::Age;
-use crate::pulse::Pulse;
 use crate::reading::{Freshness, Reading};
+use crate::stall::StallDetector;
 use crate::state::Gateway;
 use shaleline_types::Millis;
 
@@ -19,7 +19,12 @@
 const ON_ITS_WAY_MS: u64 = 150;
 
 /// Whether a version may be in force elsewhere that this daemon missed while it stalled.
-pub(crate) fn is_behind(reading: &Reading, pulse: &Pulse, apply: Millis, now: Millis) -> bool {
+pub(crate) fn is_behind(
+    reading: &Reading,
+    pulse: &StallDetector,
+    apply: Millis,
+    now: Millis,
+) -> bool {
     let Some(known) = reading.config_known_at() else {
         return false;
     };
@@ -30,14 +35,14 @@
 impl Gateway {
     /// Whether callers should be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        let knows = self.table().is_some() && self.listed.get();
+        let knows = self.table().is_some() && self.upstreams_known.get();
         knows && !self.stopping.get() && !self.is_behind() && self.knows_keys()
     }
 
     /// Whether the configuration may be out of date because this process stalled.
     pub(crate) fn is_behind(&self) -> bool {
         let apply = self.bounds.borrow().apply;
-        let pulse = self.pulse.borrow();
+        let pulse = self.stall_detector.borrow();
         is_behind(&self.reading.borrow(), &pulse, apply, self.now())
     }
 
@@ -55,9 +60,9 @@
     }
 
     /// The earliest time at which something may have come that is read now.
-    pub(crate) fn came_at(&self) -> Millis {
+    pub(crate) fn earliest_arrival(&self) -> Millis {
         let now = self.now();
-        let lag = self.pulse.borrow().lag(now);
+        let lag = self.stall_detector.borrow().lag(now);
         Millis(now.0.saturating_sub(lag))
     }
 
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -73,7 +73,7 @@
 
 /// Refuses a request that has no place in the router.
 pub(crate) fn early(gw: &Gateway, id: &str, refusal: &Refusal) -> Reply {
-    if gw.lines.take(gw.now()) {
+    if gw.log_budget.take(gw.now()) {
         let code = refusal.code();
         let org = refusal.org.as_ref().map_or("none", |o| o.as_str());
         let detail = format!("id={id} code={code} org={org} reason={:?}", refusal.reason);
@@ -116,7 +116,7 @@
 /// Logs how a request ended.
 pub(crate) fn log_end(gw: &Gateway, job: &Job, permit: &Permit, event: LogEvent, code: &str) {
     let now = gw.now();
-    if !gw.lines.take(now) {
+    if !gw.log_budget.take(now) {
         return;
     }
     let detail =
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,7 +1,7 @@
 //! Passes a stream on to its caller, and resumes it elsewhere where its route allows that.
 
-use crate::attempt::{self, keep_of, Failure, Opened};
-use crate::ended::Sent;
+use crate::attempt::{self, idle_timeout, Failure, Opened};
+use crate::crash_probe::SentAttempt;
 use crate::events::EventSplitter;
 use crate::job::Job;
 use crate::refuse::log_end;
@@ -20,7 +20,7 @@
     pub(crate) gw: Rc<Gateway>,
     pub(crate) job: Rc<Job>,
     pub(crate) permit: Permit,
-    pub(crate) sent: Sent,
+    pub(crate) sent: SentAttempt,
     pub(crate) sender: mpsc::Sender<Chunk>,
 }
 
@@ -88,7 +88,7 @@
                     if torn {
                         return Part::Broken(Failure::Garbled);
                     }
-                    opened.exchange.finish(keep_of(&opened.answer));
+                    opened.exchange.finish(idle_timeout(&opened.answer));
                     return Part::Whole;
                 }
                 Err(e) => return Part::Broken(e.into()),
@@ -112,10 +112,10 @@
                 }
                 return None;
             };
-            if gw.readmit(&job).is_err() {
+            if gw.recheck(&job).is_err() {
                 return None;
             }
-            self.sent = gw.send_to(attempt, &upstream);
+            self.sent = gw.begin_send(attempt, &upstream);
             self.permit.sends += 1;
             self.permit.last = Some(upstream.clone());
             self.permit.reached += 1;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -78,7 +78,7 @@
         };
         let base = job.base();
         let served = base.is_none_or(|b| gw.router.borrow().is_served(&b));
-        gw.ask_for(job.to_ask(id, served));
+        gw.request_upstream(job.to_ask(id, served));
         permit
     }
 
@@ -190,12 +190,12 @@
     let mut rule = rule
         .ok_or_else(|| Refusal::new(ErrorKind::NotFound))?
         .clone();
-    let org = gw.judge(table, &rule, &head)?;
+    let org = gw.authenticate(table, &rule, &head)?;
     if let Some(priority) = org.and_then(|o| o.priority) {
         rule.priority = priority;
     }
     let org = org.map(|o| o.name.clone());
-    let service = rule.pick(gw.draw()).cloned();
+    let service = rule.pick(gw.random()).cloned();
     let service = service.ok_or_else(|| Refusal::new(ErrorKind::NoUpstream))?;
     let patience = head.patience.unwrap_or(PATIENCE).min(rule.timeout);
     let came_back = patience.0 < rule.timeout.0 * BACK_PART.0 / BACK_PART.1;
@@ -295,7 +295,7 @@
                 return spare.unwrap_or_else(|| refuse::timed_out(gw, &job, &permit));
             }
         };
-        if let Err(refusal) = gw.readmit(&job) {
+        if let Err(refusal) = gw.recheck(&job) {
             return spare.unwrap_or_else(|| refuse::late(gw, &job, &permit, refusal));
         }
         if permit.sends == 0 {
@@ -303,7 +303,7 @@
         }
         match attempt::send(gw, &job, permit, attempt, &upstream).await {
             Ended::Answered(reply) => {
-                gw.note_met(&job);
+                gw.note_served(&job);
                 return reply;
             }
             Ended::Unanswered(back) => permit = back,
@@ -316,10 +316,10 @@
 }
 
 /// Loading a model that nobody holds takes the planner and an engine with a copy so long.
-pub(crate) const LOAD: Millis = Millis(1_500);
+pub(crate) const LOAD_RETRY: Millis = Millis(1_500);
 
 /// An adapter that nobody holds is there after another one was dropped for it, each by an order of its own.
-pub(crate) const ADAPTER: Millis = Millis(500);
+pub(crate) const ADAPTER_RETRY: Millis = Millis(500);
 
 /// Another planner orders what was waited for meanwhile within so long of its claim.
 const SUCCESSOR: Millis = Millis(700);
@@ -345,16 +345,16 @@
     Some(if router.is_served(&job.route()) {
         CROWDED
     } else if router.is_served(&base) {
-        load_retry(gw, ADAPTER)
+        load_retry(gw, ADAPTER_RETRY)
     } else {
-        load_retry(gw, LOAD)
+        load_retry(gw, LOAD_RETRY)
     })
 }
 
 /// When to come back for what a planner has to load first, where that takes so long. While nobody plans,
 /// nothing is loaded.
 pub(crate) fn load_retry(gw: &Gateway, takes: Millis) -> Millis {
-    match gw.claim.borrow().vacancy(gw.now()) {
+    match gw.planner_lease.borrow().vacancy(gw.now()) {
         Some(vacancy) => {
             // As many more come meanwhile as more daemons plan in vain.
             let turn = (vacancy.lasted.0 / RETURN_PART).min(RETURN_MOST.0) * (1 + vacancy.deaths);
@@ -412,7 +412,7 @@
     }
 
     /// Notes that a caller is served.
-    pub(crate) fn note_met(&self, job: &Job) {
+    pub(crate) fn note_served(&self, job: &Job) {
         if let Some(model) = &job.head.model {
             let adapter = job.head.adapter.as_ref();
             let mut unmet = self.unmet.borrow_mut();
@@ -423,9 +423,9 @@
     /// Asks the planner for an adapter, wherever the planner is.
     fn want(&self, model: &shaleline_types::Model, adapter: &shaleline_types::Adapter) {
         let now = self.now();
-        if self.claim.borrow().fence(now).is_some() {
+        if self.planner_lease.borrow().fence(now).is_some() {
             let key = (model.clone(), adapter.clone());
-            self.wants.borrow_mut().insert(key, now);
+            self.wanted_adapters.borrow_mut().insert(key, now);
             self.plan_now.notify_one();
             return;
         }
--- a/crates/gateway/src/chooser.rs
+++ b/crates/gateway/src/selector.rs
@@ -6,19 +6,19 @@
 
 /// Who chooses the upstream of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Chooser {
+pub(crate) enum Selector {
     /// This daemon, as a hub.
-    Me,
+    Local,
     /// Another one.
-    Other(SocketAddr),
+    Remote(SocketAddr),
     /// No hub answers: each daemon for itself.
-    Nobody,
+    NoHub,
 }
 
 /// So many hubs are asked: who waits for a third has lost the time to be served.
 const ASKED: usize = 2;
 
-impl Chooser {
+impl Selector {
     /// The first of the hubs that answers, which share the models and services by rendezvous hashing
     /// of `key`.
     ///
@@ -34,9 +34,9 @@
         let score = |hub: &SocketAddr| stable_hash(&[key, &hub.to_string()]);
         hubs.sort_by_cached_key(|hub| Reverse(score(hub)));
         match hubs.into_iter().take(ASKED).find(|hub| answers(*hub)) {
-            Some(hub) if hub == me => Self::Me,
-            Some(hub) => Self::Other(hub),
-            None => Self::Nobody,
+            Some(hub) if hub == me => Self::Local,
+            Some(hub) => Self::Remote(hub),
+            None => Self::NoHub,
         }
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -60,7 +60,7 @@
     /// Where some other daemons listen for their peers; any of them may be gone.
     pub seeds: Vec<SocketAddr>,
     /// The bandwidth of its link, in megabits a second.
-    pub link: f64,
+    pub link_mbps: f64,
     /// Its part of a processor.
     pub cores: f64,
     /// Whether the whole system starts for the first time: then no caller waits yet.
@@ -102,7 +102,7 @@
         /// Links and processors at which the bursts do no harm to requests.
         const LINKS: [f64; 2] = [50.0, 100.0];
         const CORES: f64 = 0.24;
-        let links = LINKS.iter().filter(|l| self.link >= **l).count() as u8;
+        let links = LINKS.iter().filter(|l| self.link_mbps >= **l).count() as u8;
         links + u8::from(self.cores >= CORES)
     }
 }
@@ -113,7 +113,7 @@
 pub struct Policy {
     /// How often the upstreams' entries are read: within the drain bound of 2 s a read
     /// may fail once.
-    pub read_every: Millis,
+    pub read_interval: Millis,
     /// How long a read of the configuration waits for a change at the least; see
     /// [`GatewaySettings::config_wait`].
     pub config_wait: Millis,
@@ -121,22 +121,22 @@
     pub store_timeout: Millis,
     /// What a prompt token costs before anything was measured, in milliseconds: the data
     /// sheet's 19.1 tokens a millisecond.
-    pub token: f64,
+    pub token_ms: f64,
     /// Whether this daemon may plan for the engines.
     pub plans: bool,
     /// How often the planner looks at the fleet.
-    pub plan_every: Millis,
+    pub plan_interval: Millis,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            read_every: Millis(700),
+            read_interval: Millis(700),
             config_wait: Millis(800),
             store_timeout: Millis(700),
-            token: 0.052,
+            token_ms: 0.052,
             plans: true,
-            plan_every: Millis(250),
+            plan_interval: Millis(250),
         }
     }
 }
--- a/crates/gateway/src/pulse.rs
+++ b/crates/gateway/src/stall.rs
@@ -27,7 +27,7 @@
 
 /// The wake-ups of one process.
 #[derive(Debug)]
-pub(crate) struct Pulse {
+pub(crate) struct StallDetector {
     last: Millis,
     /// Those of a moment ago.
     gaps: VecDeque<Gap>,
@@ -35,7 +35,7 @@
     stalled: Option<Millis>,
 }
 
-impl Pulse {
+impl StallDetector {
     pub(crate) fn new(now: Millis) -> Self {
         Self {
             last: now,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -4,7 +4,7 @@
 use crate::handover::Copies;
 use crate::journal::emit;
 use crate::request::Callers;
-use crate::state::{Border, Gateway};
+use crate::state::{Gateway, Platform};
 use crate::{follow, gossip, kept, lead, members, GatewaySettings};
 use eyre::{Result, WrapErr};
 use shaleline_edge::{Gate, Handler, Listener};
@@ -66,7 +66,7 @@
 /// # Errors
 /// Where an address can't be bound. Metrics are not worth a refusal to serve: where their
 /// address is taken, that is logged.
-pub async fn start(settings: GatewaySettings, border: Border) -> Result<Running> {
+pub async fn start(settings: GatewaySettings, border: Platform) -> Result<Running> {
     let (outbox, messages) = mpsc::unbounded_channel();
     let listens = settings.listen.clone();
     let gw = Gateway::new(settings, border, outbox)?;
@@ -107,7 +107,7 @@
     loop {
         let pace = wait_for_tick(&gw).await;
         note_suspension(&gw);
-        look(&gw, pace);
+        run_tick(&gw, pace);
         if ready != gw.is_ready() {
             ready = gw.is_ready();
             tell_ready(&gw, ready);
@@ -133,12 +133,12 @@
 /// Does what time alone brings about, `pace` milliseconds after the last time at the latest. First what
 /// is no longer believed: after a stall or a suspension nothing may be sent to an upstream whose
 /// removal should have taken effect meanwhile.
-pub(crate) fn look(gw: &Gateway, pace: u64) {
-    gw.pulse.borrow_mut().on_tick(pace, gw.now());
+pub(crate) fn run_tick(gw: &Gateway, pace: u64) {
+    gw.stall_detector.borrow_mut().on_tick(pace, gw.now());
     let changes = gw.roster.borrow_mut().tick(gw.now());
     gw.apply_all(changes);
     gw.route(RouteEvent::Tick);
-    gw.drive_choosing();
+    gw.tick_selection();
 }
 
 /// Drops kept connections that outlived their time while the instance was suspended. What is believed
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -2,19 +2,19 @@
 
 use crate::allowance::Allowances;
 use crate::claiming::Inherited;
-use crate::desk::Desk;
-use crate::dispatch::Asked;
-use crate::ended::Ends;
+use crate::crash_probe::CrashProbes;
+use crate::dispatch::DelegatedRequests;
 use crate::gossip::Addressed;
 use crate::hearing::Hearing;
 use crate::journal::{emit, LineBudget};
 use crate::mesh::Mesh;
 use crate::message::{Sender, Tag};
 use crate::metrics::Metrics;
-use crate::pulse::Pulse;
+use crate::peer_requests::PeerRequests;
 use crate::reading::Reading;
 use crate::roster::{Change, Roster};
 use crate::skipped::Skipped;
+use crate::stall::StallDetector;
 use crate::told::Told;
 use crate::{Bounds, Codec, GatewaySettings, Store, Table};
 use eyre::Result;
@@ -74,7 +74,7 @@
     pub(crate) gate: Gate,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
-    pub(crate) lines: LineBudget,
+    pub(crate) log_budget: LineBudget,
     pub(crate) router: RefCell<Router>,
     pub(crate) roster: RefCell<Roster>,
     pub(crate) skipped: RefCell<Skipped>,
@@ -85,61 +85,61 @@
     pub(crate) unmet: RefCell<UnmetDemand>,
     pub(crate) mesh: RefCell<Mesh>,
     pub(crate) reading: RefCell<Reading>,
-    pub(crate) pulse: RefCell<Pulse>,
+    pub(crate) stall_detector: RefCell<StallDetector>,
     /// The configuration's record as it was read, for other daemons.
     pub(crate) config_record: RefCell<Option<Rc<[u8]>>>,
     /// The offset up to which the upstreams' entries are known.
-    pub(crate) entries_next: Cell<u64>,
+    pub(crate) entries_offset: Cell<u64>,
     /// When this process started.
     pub(crate) started: Millis,
     /// Whether another daemon told who the hubs are.
-    pub(crate) introduced: Cell<bool>,
+    pub(crate) hubs_known: Cell<bool>,
     /// Whether this daemon knows enough of the others to act as a hub.
-    pub(crate) settled: Cell<bool>,
+    pub(crate) hub_ready: Cell<bool>,
     /// Tells that a hub marked how far it has read.
-    pub(crate) marked: Notify,
-    pub(crate) claim: RefCell<Claim>,
+    pub(crate) position_changed: Notify,
+    pub(crate) planner_lease: RefCell<Claim>,
     /// Whether this daemon hears enough of the others to plan.
-    pub(crate) hearing: RefCell<Hearing>,
+    pub(crate) quorum: RefCell<Hearing>,
     /// When engines had their last orders, from here or from planners before.
-    pub(crate) ordered: RefCell<LastOrders>,
+    pub(crate) last_orders: RefCell<LastOrders>,
     /// What the planner before left behind, as it was read last.
     pub(crate) inherited: RefCell<Option<Inherited>>,
     /// What this daemon told of engines as the planner.
-    pub(crate) told: RefCell<Told>,
+    pub(crate) announced: RefCell<Told>,
     /// Adapters that somebody waits for, with when that was last said.
-    pub(crate) wants: RefCell<BTreeMap<(Model, shaleline_types::Adapter), Millis>>,
+    pub(crate) wanted_adapters: RefCell<BTreeMap<(Model, shaleline_types::Adapter), Millis>>,
     /// Wakes the planner.
     pub(crate) plan_now: Notify,
     /// Messages to send to other daemons at once.
     pub(crate) outbox: mpsc::UnboundedSender<Addressed>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) stopping: Cell<bool>,
-    pub(crate) listed: Cell<bool>,
+    pub(crate) upstreams_known: Cell<bool>,
     table: RefCell<Option<Rc<Table>>>,
     /// Requests of this daemon for which others choose, and the other way round.
-    pub(crate) asked: RefCell<Asked>,
-    pub(crate) desk: RefCell<Desk>,
+    pub(crate) delegated: RefCell<DelegatedRequests>,
+    pub(crate) peer_requests: RefCell<PeerRequests>,
     /// When this daemon last evened out with another what it knows of requests under which
     /// upstreams ended.
-    pub(crate) evened: Cell<Millis>,
+    pub(crate) crashes_synced: Cell<Millis>,
     /// What was seen of upstreams to which sends broke off.
-    pub(crate) ends: RefCell<Ends>,
+    pub(crate) crash_probes: RefCell<CrashProbes>,
     /// Upstreams from which bytes came for requests that others chose for.
-    pub(crate) alive: RefCell<BTreeSet<Tag>>,
+    pub(crate) active_upstreams: RefCell<BTreeSet<Tag>>,
     /// When this daemon last told what it has open, and whom.
-    pub(crate) told_open: Cell<Millis>,
-    pub(crate) open_at: RefCell<BTreeSet<SocketAddr>>,
+    pub(crate) open_reported: Cell<Millis>,
+    pub(crate) open_receivers: RefCell<BTreeSet<SocketAddr>>,
     /// The upstreams by the tags that stand for them.
     pub(crate) upstream_tags: RefCell<HashMap<Tag, Upstream>>,
     /// Wakes what looks at waiting requests.
     pub(crate) first_request: Notify,
     requests: RefCell<HashMap<RequestId, mpsc::UnboundedSender<RouteAction>>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 /// The parts that differ by platform.
-pub struct Border {
+pub struct Platform {
     /// Translates messages.
     pub codec: Box<dyn Codec>,
     /// The store.
@@ -149,7 +149,7 @@
 impl Gateway {
     pub(crate) fn new(
         settings: GatewaySettings,
-        border: Border,
+        border: Platform,
         outbox: mpsc::UnboundedSender<Addressed>,
     ) -> Result<Rc<Self>> {
         Self::with_clock(
@@ -164,7 +164,7 @@
     /// A gateway whose time and draws are given.
     pub(crate) fn with_clock(
         settings: GatewaySettings,
-        border: Border,
+        border: Platform,
         outbox: mpsc::UnboundedSender<Addressed>,
         clock: Clock,
         mut rng: SmallRng,
@@ -185,7 +185,7 @@
             most: CONNECTIONS,
         };
         let router = RouterSettings {
-            token: settings.policy.token,
+            token: settings.policy.token_ms,
             seed: rng.random(),
             ..RouterSettings::new(settings.centre.clone())
         };
@@ -193,9 +193,9 @@
         let claim = ClaimSettings::from_lease(settings.bounds.lease);
         Ok(Rc::new(Self {
             router: RefCell::new(Router::new(router, ShareBook::alone(name))),
-            hearing: RefCell::new(Hearing::default()),
-            claim: RefCell::new(Claim::new(claim, format!("{name}/{life:016x}"))),
-            ordered: RefCell::new(LastOrders::default()),
+            quorum: RefCell::new(Hearing::default()),
+            planner_lease: RefCell::new(Claim::new(claim, format!("{name}/{life:016x}"))),
+            last_orders: RefCell::new(LastOrders::default()),
             inherited: RefCell::new(None),
             me,
             codec: border.codec,
@@ -204,7 +204,7 @@
             gate: Gate::with_clock(IDLE, HEAD, clock.clone()),
             clock,
             metrics: Metrics::new()?,
-            lines: LineBudget::new(now),
+            log_budget: LineBudget::new(now),
             roster: RefCell::new(Roster::default()),
             skipped: RefCell::new(Skipped::default()),
             fleets: RefCell::new(BTreeMap::new()),
@@ -213,32 +213,32 @@
             unmet: RefCell::new(UnmetDemand::default()),
             mesh: RefCell::new(mesh),
             reading: RefCell::new(Reading::default()),
-            pulse: RefCell::new(Pulse::new(now)),
+            stall_detector: RefCell::new(StallDetector::new(now)),
             config_record: RefCell::new(None),
-            entries_next: Cell::new(0),
+            entries_offset: Cell::new(0),
             started: now,
-            introduced: Cell::new(false),
-            settled: Cell::new(false),
-            marked: Notify::new(),
-            told: RefCell::new(Told::default()),
-            wants: RefCell::new(BTreeMap::new()),
+            hubs_known: Cell::new(false),
+            hub_ready: Cell::new(false),
+            position_changed: Notify::new(),
+            announced: RefCell::new(Told::default()),
+            wanted_adapters: RefCell::new(BTreeMap::new()),
             plan_now: Notify::new(),
             outbox,
             rng: RefCell::new(rng),
             stopping: Cell::new(false),
-            listed: Cell::new(false),
+            upstreams_known: Cell::new(false),
             table: RefCell::new(None),
-            asked: RefCell::new(Asked::new(life, now)),
-            desk: RefCell::new(Desk::default()),
-            ends: RefCell::new(Ends::default()),
-            evened: Cell::new(Millis(0)),
-            alive: RefCell::new(BTreeSet::new()),
-            told_open: Cell::new(now),
-            open_at: RefCell::new(BTreeSet::new()),
+            delegated: RefCell::new(DelegatedRequests::new(life, now)),
+            peer_requests: RefCell::new(PeerRequests::default()),
+            crash_probes: RefCell::new(CrashProbes::default()),
+            crashes_synced: Cell::new(Millis(0)),
+            active_upstreams: RefCell::new(BTreeSet::new()),
+            open_reported: Cell::new(now),
+            open_receivers: RefCell::new(BTreeSet::new()),
             upstream_tags: RefCell::new(HashMap::new()),
             first_request: Notify::new(),
             requests: RefCell::new(HashMap::new()),
-            next: Cell::new(0),
+            next_number: Cell::new(0),
             bounds: RefCell::new(settings.bounds.clone()),
             settings,
         }))
@@ -305,7 +305,7 @@
                 for fleet in self.fleets.borrow_mut().values_mut() {
                     fleet.remove(&name);
                 }
-                self.told.borrow_mut().forget(&name);
+                self.announced.borrow_mut().forget(&name);
                 let tag = Tag::of_upstream(&name);
                 self.upstream_tags.borrow_mut().remove(&tag);
                 self.route(RouteEvent::Leaving {
@@ -411,12 +411,12 @@
     /// Gives the router an event and hands its actions to the requests they are about.
     pub(crate) fn route(&self, event: RouteEvent) {
         let actions = self.router.borrow_mut().step(event, self.now());
-        actions.iter().for_each(|a| self.hand(a));
+        actions.iter().for_each(|a| self.deliver(a));
         self.tell_crashes();
     }
 
     /// Tells a request of this daemon what to do; false where there is none of that number.
-    pub(crate) fn tell_request(&self, id: RequestId, action: &RouteAction) -> bool {
+    pub(crate) fn notify_request(&self, id: RequestId, action: &RouteAction) -> bool {
         let requests = self.requests.borrow();
         let told = requests.get(&id).map(|tell| tell.send(action.clone()));
         told.is_some()
@@ -455,15 +455,15 @@
 
     /// A number for a request, of this daemon or of another.
     pub(crate) fn next_id(&self) -> RequestId {
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+        let id = RequestId(self.next_number.get());
+        self.next_number.set(id.0 + 1);
         id
     }
 
     /// Whether there are requests whose answer has not ended, here or at daemons for which this
     /// one chooses.
     pub(crate) fn has_requests(&self) -> bool {
-        !self.requests.borrow().is_empty() || self.desk.borrow().len() > 0
+        !self.requests.borrow().is_empty() || self.peer_requests.borrow().len() > 0
     }
 
     pub(crate) fn unregister(&self, id: RequestId) {
@@ -511,7 +511,7 @@
         self.publish(name);
     }
 
-    pub(crate) fn draw(&self) -> u64 {
+    pub(crate) fn random(&self) -> u64 {
         self.rng.borrow_mut().random()
     }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -6,7 +6,7 @@
 //! otherwise sends what it knows and gets back what it lacks: a daemon that has just started, was cut
 //! off, or missed a datagram. `docs/CRASHES.md` has the ways weighed and what it costs.
 
-use crate::ended::Sent;
+use crate::crash_probe::SentAttempt;
 use crate::journal::emit;
 use crate::mesh::Concerns;
 use crate::message::{Message, Sender};
@@ -35,20 +35,20 @@
             _ => return false,
         };
         let (id, retry) = (ask.id, None);
-        self.hand(&RouteAction::Refuse { id, kind, retry });
+        self.deliver(&RouteAction::Refuse { id, kind, retry });
         true
     }
 
     /// Notes that an upstream ended under a request of this daemon, and tells the hubs. Whoever
     /// chose the upstream is told how the send ended.
-    pub(crate) fn note_crash(&self, identity: Identity, sent: &Sent) {
+    pub(crate) fn note_crash(&self, identity: Identity, sent: &SentAttempt) {
         let note = CrashNote {
             identity,
             ended: [sent.start].into(),
             cleared: [].into(),
             age: 0,
         };
-        if self.lines.take(self.now()) {
+        if self.log_budget.take(self.now()) {
             let detail = format!(
                 "request={} upstream={} start={}",
                 identity.request, sent.upstream, sent.start
@@ -75,7 +75,7 @@
             .router
             .borrow_mut()
             .merge_crashes(notes, now, &mut actions);
-        actions.iter().for_each(|a| self.hand(a));
+        actions.iter().for_each(|a| self.deliver(a));
         for note in &news {
             self.log_standing(&note.identity.request);
         }
@@ -136,11 +136,11 @@
     pub(crate) fn compare_crashes(&self, from: &Sender, digest: u64) {
         let now = self.now();
         let own = self.router.borrow().crashes().digest();
-        let lately = now.since(self.evened.get()) < EVEN_EVERY_MS;
+        let lately = now.since(self.crashes_synced.get()) < EVEN_EVERY_MS;
         if own == digest || lately {
             return;
         }
-        self.evened.set(now);
+        self.crashes_synced.set(now);
         let notes = self.router.borrow().crashes().grave(now);
         self.send_crashes(from.address, notes.iter(), true);
     }
--- a/crates/gateway/tests/unit/admission.rs
+++ b/crates/gateway/tests/unit/admission.rs
@@ -1,9 +1,9 @@
 //! Whose a request is, and until when a daemon may rely on callers' keys.
 
-use crate::admission::{judge, Age, Revocation};
+use crate::admission::{authenticate, Age, Revocation};
 use crate::message::Echo;
 use crate::reading::Reading;
-use crate::{Counting, Head, OrgRule, Orgs, OrgsFault, Repeat, RouteRule};
+use crate::{CostUnit, Head, OrgRule, Orgs, OrgsError, Repeat, RouteRule};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shaleline_testkit::cases;
 use shaleline_types::{ErrorKind, KeyHash, Millis, Org};
@@ -16,7 +16,7 @@
         name: Org::from_text(name).expect("a valid name"),
         priority: None,
         allowance: None,
-        counting: Counting::Requests,
+        counting: CostUnit::Requests,
     };
     (rule, keys.iter().map(|k| KeyHash::from_key(k)).collect())
 }
@@ -52,7 +52,7 @@
         within: WITHIN,
     };
     let age: Age = age.map(Millis);
-    let org = judge(Some(&orgs), &route(public), &head, revocation, APPLY, age)?;
+    let org = authenticate(Some(&orgs), &route(public), &head, revocation, APPLY, age)?;
     Ok(org.map_or("none".to_owned(), |o| o.name.to_string()))
 }
 
@@ -82,7 +82,7 @@
         closed: true,
         within: WITHIN,
     };
-    let judged = judge(None, &route(false), &head, revocation, APPLY, None);
+    let judged = authenticate(None, &route(false), &head, revocation, APPLY, None);
     assert_eq!(judged, Ok(None));
 }
 
@@ -90,7 +90,7 @@
 fn fault(rules: Vec<(OrgRule, Vec<KeyHash>)>) -> Option<String> {
     Orgs::from_rules(rules)
         .err()
-        .map(|e: OrgsFault| e.to_string())
+        .map(|e: OrgsError| e.to_string())
 }
 
 cases! { fault;
--- a/crates/gateway/tests/unit/catalogue/world.rs
+++ b/crates/gateway/tests/unit/catalogue/world.rs
@@ -10,10 +10,10 @@
 use crate::lead::{step, unproven, Working};
 use crate::message::{Datagram, Message};
 use crate::orders::{note_leaving, tell_held, tell_retiring};
-use crate::request::{load_retry, note_demand, ADAPTER, LOAD};
+use crate::request::{load_retry, note_demand, ADAPTER_RETRY, LOAD_RETRY};
 use crate::roster::Seen;
-use crate::start::look;
-use crate::state::{Border, EngineStart, Gateway};
+use crate::start::run_tick;
+use crate::state::{EngineStart, Gateway, Platform};
 use crate::unit::crashes::border::NoCodec;
 use crate::unit::crashes::world::{job, settings};
 use crate::unit::hand::Hand;
@@ -199,13 +199,13 @@
 
     fn settings(&self, index: usize, address: SocketAddr) -> GatewaySettings {
         let centre = DataCentre::from_text(&format!("dc{}", index % self.size.centres));
-        let (link, cores) = match self.is_strong(index) {
+        let (link_mbps, cores) = match self.is_strong(index) {
             true => (200.0, 0.5),
             false => (20.0, 0.12),
         };
         GatewaySettings {
             centre: centre.expect("a valid name"),
-            link,
+            link_mbps,
             cores,
             first_start: self.now() == 0,
             ..settings(index, address)
@@ -217,7 +217,7 @@
         let address = SocketAddr::from(([10, 0, (index / 200) as u8, 1 + (index % 200) as u8], 1));
         let (outbox, messages) = mpsc::unbounded_channel();
         let rng = SmallRng::seed_from_u64(self.rng.random());
-        let border = Border {
+        let border = Platform {
             codec: Box::new(NoCodec),
             store: Box::new(Shared(Rc::clone(&self.records))),
         };
@@ -299,7 +299,7 @@
 
     /// The daemon that may order now, if any.
     pub fn planner(&self) -> Option<usize> {
-        let leads = |d: &Daemon| d.alive && d.gw.claim.borrow().fence(d.gw.now()).is_some();
+        let leads = |d: &Daemon| d.alive && d.gw.planner_lease.borrow().fence(d.gw.now()).is_some();
         self.daemons.iter().position(leads)
     }
 
@@ -378,8 +378,8 @@
         let daemon = &mut self.daemons[index];
         let due = (now / STEP + index as u64) % (LOOK / STEP) == 0;
         if due {
-            look(&daemon.gw, LOOK);
-            daemon.gw.settled.set(now >= daemon.started + SETTLES);
+            run_tick(&daemon.gw, LOOK);
+            daemon.gw.hub_ready.set(now >= daemon.started + SETTLES);
             if gives_up(&daemon.gw) {
                 release(&daemon.gw, &daemon.working, "hears-too-few")
                     .now_or_never()
@@ -516,7 +516,7 @@
     fn arrive(&mut self, index: usize, start: EngineStart, service: &Service, order: &Order) {
         let now = self.now();
         let Daemon { gw, working, .. } = &self.daemons[index];
-        let leads = gw.claim.borrow().fence(gw.now()) == Some(order.fence);
+        let leads = gw.planner_lease.borrow().fence(gw.now()) == Some(order.fence);
         if !leads {
             working.end(&start);
             return;
@@ -585,11 +585,11 @@
         let history = self.history.entry(key.clone()).or_default();
         history.push(format!("{now} asked again={came_back} served={served}"));
         let told = match self.engines.serves(&(key.0.clone(), None)) {
-            true => load_retry(gw, ADAPTER),
-            false => load_retry(gw, LOAD),
+            true => load_retry(gw, ADAPTER_RETRY),
+            false => load_retry(gw, LOAD_RETRY),
         };
         match served {
-            true => gw.note_met(&asked_for),
+            true => gw.note_served(&asked_for),
             false => gw.note_unmet(&asked_for, told),
         }
         let asked = self.asked.entry(key.clone()).or_insert(Asked {
--- a/crates/gateway/tests/unit/choosing.rs
+++ b/crates/gateway/tests/unit/choosing.rs
@@ -5,10 +5,10 @@
 //! upstream and none to another. One request in nine was rejected, and one in five was late, at a
 //! third of what the upstreams bear.
 
-use crate::desk::{Desk, OPEN_EVERY_MS};
-use crate::dispatch::{Answer, Asked, EndNote, Progressed, Step, Ticket};
+use crate::dispatch::{Answer, DelegatedRequests, EndNote, ProgressNote, Step, Ticket};
 use crate::job::{org, LIMITS};
 use crate::message::Message;
+use crate::peer_requests::{PeerRequests, OPEN_INTERVAL_MS};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_route::{
@@ -76,8 +76,8 @@
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
     rng: SmallRng,
-    asked: Vec<Asked>,
-    desk: Desk,
+    asked: Vec<DelegatedRequests>,
+    desk: PeerRequests,
     router: Router,
     next: u64,
     servers: Vec<Server>,
@@ -119,9 +119,9 @@
             count: 0,
             rng: SmallRng::seed_from_u64(SEED),
             asked: (0..DAEMONS as u64)
-                .map(|life| Asked::new(life, Millis(START)))
+                .map(|life| DelegatedRequests::new(life, Millis(START)))
                 .collect(),
-            desk: Desk::default(),
+            desk: PeerRequests::default(),
             router,
             next: 0,
             servers: (0..UPSTREAMS).map(|_| Server::default()).collect(),
@@ -202,7 +202,7 @@
 
     fn answer(&mut self, ticket: Ticket, answer: Answer) {
         if !self.lost() {
-            let daemon = ticket.life as usize;
+            let daemon = ticket.incarnation as usize;
             self.at(self.now + WAY, Event::ToDaemon(daemon, ticket, answer));
         }
     }
@@ -230,9 +230,9 @@
                     return;
                 };
                 match what {
-                    Progressed::FirstByte(_) => {}
-                    Progressed::Gone => self.route(RouteEvent::CallerGone(id)),
-                    Progressed::Ended(attempt, end) => {
+                    ProgressNote::FirstByte(_) => {}
+                    ProgressNote::Gone => self.route(RouteEvent::CallerGone(id)),
+                    ProgressNote::Ended(attempt, end) => {
                         self.desk.wait(id);
                         let end = end.to_end();
                         self.route(RouteEvent::Ended { id, attempt, end });
@@ -299,7 +299,7 @@
 
     fn end(&mut self, daemon: usize, id: RequestId, end: EndNote) {
         let attempt = self.calls.get(&(daemon, id)).map_or(0, |c| c.1);
-        let what = Progressed::Ended(attempt, end);
+        let what = ProgressNote::Ended(attempt, end);
         let told = self.asked[daemon].report(id, what, Millis(self.now));
         if let Some((_, message)) = told {
             self.tell_desk(message);
@@ -324,7 +324,7 @@
     fn tick(&mut self) {
         let now = Millis(self.now);
         self.route(RouteEvent::Tick);
-        if (self.now - START) % OPEN_EVERY_MS == 0 && !self.silent {
+        if (self.now - START) % OPEN_INTERVAL_MS == 0 && !self.silent {
             self.tell_open();
         }
         let gone = self.desk.tick(now);
@@ -413,7 +413,7 @@
 }
 
 fn ticket(id: u64) -> Ticket {
-    Ticket { life: 1, id }
+    Ticket { incarnation: 1, id }
 }
 
 fn ask(id: u64) -> Ask {
@@ -445,7 +445,7 @@
 /// How many times a request is sent, and given up, with these answers.
 fn sends(answers: &[Answer]) -> (usize, usize) {
     let now = Millis(START);
-    let mut asked = Asked::new(1, now);
+    let mut asked = DelegatedRequests::new(1, now);
     asked.ask(ask(5), desk_address(), now);
     let mut counts = (0, 0);
     for answer in answers {
@@ -473,7 +473,7 @@
 #[test]
 fn a_request_that_ended_unheard_is_closed() {
     let now = Millis(START);
-    let mut desk = Desk::default();
+    let mut desk = PeerRequests::default();
     for id in [1, 2] {
         desk.open(ticket(id), desk_address(), RequestId(id), now);
     }
--- a/crates/gateway/tests/unit/crashes/border.rs
+++ b/crates/gateway/tests/unit/crashes/border.rs
@@ -1,7 +1,7 @@
 //! A platform that is not there: nothing in these tests speaks to it.
 
 use crate::{
-    AnswerHead, Batch, Call, Codec, Entry, Head, Malformed, Passage, Store, StoreError,
+    AnswerHead, Batch, Call, Codec, Entry, ForwardContext, Head, Malformed, Store, StoreError,
     StoreResult, Table, Topic,
 };
 use futures_util::future::LocalBoxFuture;
@@ -29,7 +29,7 @@
         none()
     }
 
-    fn forward(&self, headers: &HeaderMap, _: &Passage) -> HeaderMap {
+    fn forward(&self, headers: &HeaderMap, _: &ForwardContext) -> HeaderMap {
         headers.clone()
     }
 
@@ -37,7 +37,7 @@
         AnswerHead::default()
     }
 
-    fn back(&self, headers: &HeaderMap) -> HeaderMap {
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap {
         headers.clone()
     }
 
--- a/crates/gateway/tests/unit/crashes/world.rs
+++ b/crates/gateway/tests/unit/crashes/world.rs
@@ -6,15 +6,15 @@
 mod servers;
 
 use crate::attempt::{note_failure, Failure};
-use crate::chooser::Chooser;
-use crate::ended::Sent;
+use crate::crash_probe::SentAttempt;
 use crate::gossip::{round, take, Addressed};
 use crate::job::Job;
 use crate::message::{Datagram, Message};
 use crate::request::Permit;
 use crate::roster::Seen;
-use crate::start::look;
-use crate::state::{Border, Gateway};
+use crate::selector::Selector;
+use crate::start::run_tick;
+use crate::state::{Gateway, Platform};
 use crate::{Bounds, GatewaySettings, Head, Listen, Policy, Repeat, Revocation, RouteRule};
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -88,7 +88,7 @@
     daemon: usize,
     job: Rc<Job>,
     permit: Option<Permit>,
-    sent: Option<Sent>,
+    sent: Option<SentAttempt>,
 }
 
 /// An attempt that has ended.
@@ -146,7 +146,7 @@
             metrics: address,
         },
         seeds: Vec::new(),
-        link: 1_000.0,
+        link_mbps: 1_000.0,
         cores: 0.25,
         first_start: true,
         bounds: Bounds {
@@ -238,7 +238,7 @@
         let address = SocketAddr::from(([10, 0, (index / 200) as u8, 1 + (index % 200) as u8], 1));
         let (outbox, messages) = mpsc::unbounded_channel();
         let rng = SmallRng::seed_from_u64(self.rng.random());
-        let border = Border {
+        let border = Platform {
             codec: Box::new(border::NoCodec),
             store: Box::new(border::NoStore),
         };
@@ -300,9 +300,9 @@
     pub fn chooser(&self) -> usize {
         let now = self.daemons[0].gw.now();
         let asked = |d: &Daemon| match d.gw.mesh.borrow_mut().chooser("svc", |_| true, now) {
-            Chooser::Other(address) => Some(address),
-            Chooser::Me => Some(d.address),
-            Chooser::Nobody => None,
+            Selector::Remote(address) => Some(address),
+            Selector::Local => Some(d.address),
+            Selector::NoHub => None,
         };
         let address = self.daemons.iter().filter(|d| d.alive).find_map(asked);
         let found = self.daemons.iter().position(|d| Some(d.address) == address);
@@ -398,7 +398,7 @@
         let daemon = &mut self.daemons[index];
         let mut out = Vec::new();
         if daemon.alive && (now + index as u64) % TICK == 0 {
-            look(&daemon.gw, TICK);
+            run_tick(&daemon.gw, TICK);
         }
         if daemon.alive && now >= daemon.round {
             daemon.round = now + daemon.gw.tell_every().0;
@@ -482,7 +482,7 @@
         let now = self.now();
         let call = &mut self.calls[index];
         let gw = &self.daemons[call.daemon].gw;
-        call.sent = Some(gw.send_to(attempt, upstream));
+        call.sent = Some(gw.begin_send(attempt, upstream));
         let server = self.servers.iter_mut().rfind(|s| s.name == *upstream);
         let Some(server) = server.filter(|s| s.up) else {
             self.fail(index, Failure::NotSent);
--- a/crates/gateway/tests/unit/ready.rs
+++ b/crates/gateway/tests/unit/ready.rs
@@ -7,9 +7,9 @@
 //! daemons, ask again, read all, apply) took one more round. In a run of the same day its
 //! version came into force 3.5 s after it was accepted, on all others within 1.6 s.
 
-use crate::pulse::Pulse;
 use crate::reading::Reading;
 use crate::ready::is_behind;
+use crate::stall::StallDetector;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shaleline_testkit::cases;
 use shaleline_types::Millis;
@@ -34,7 +34,7 @@
 /// Whether it should take no work after these steps.
 fn behind(steps: &[Step]) -> bool {
     let mut now = Millis(START);
-    let mut pulse = Pulse::new(now);
+    let mut pulse = StallDetector::new(now);
     let mut reading = Reading::default();
     for step in steps {
         match *step {
@@ -98,7 +98,7 @@
 /// after these pauses.
 fn serves_by_no_old_version(rounds: Vec<Round>, pauses: Vec<u16>) -> bool {
     let mut now = Millis(START);
-    let mut pulse = Pulse::new(now);
+    let mut pulse = StallDetector::new(now);
     let mut reading = Reading::default();
     reading.on_config(0, now);
     let accepted = pauses.into_iter().scan(now, |last, pause| {
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -5,8 +5,8 @@
 //! than they were, and acted on them in the first moments after.
 
 use crate::roster::Seen;
-use crate::start::look;
-use crate::state::{Border, Gateway};
+use crate::start::run_tick;
+use crate::state::{Gateway, Platform};
 use crate::unit::crashes::{border, world};
 use crate::unit::hand::Hand;
 use crate::Entry;
@@ -32,7 +32,7 @@
     fn start() -> Self {
         let hand = Rc::new(Hand::default());
         let time: Rc<dyn Time> = hand.clone();
-        let border = Border {
+        let border = Platform {
             codec: Box::new(border::NoCodec),
             store: Box::new(border::NoStore),
         };
@@ -49,7 +49,7 @@
         const TICK: u64 = 10;
         for _ in 0..millis / TICK {
             self.hand.0.set(self.hand.0.get() + TICK);
-            look(&self.gw, TICK);
+            run_tick(&self.gw, TICK);
         }
     }
 
@@ -121,7 +121,7 @@
 #[test]
 fn its_claim_is_over() {
     let daemon = Daemon::start();
-    let mut claim = daemon.gw.claim.borrow_mut();
+    let mut claim = daemon.gw.planner_lease.borrow_mut();
     let fence = loop {
         daemon.hand.0.set(daemon.hand.0.get() + 100);
         let now = daemon.gw.now();
