--- a/crates/gateway/src/allowance_share.rs
+++ b/crates/gateway/src/allowance_share.rs
@@ -14,15 +14,15 @@
 
 /// How many daemons a data centre has is remembered for so long, far longer than the daemons themselves:
 /// those that are cut off are not heard, and keep their part.
-const NEAR_MS: u64 = 3_600_000;
+const CENTRE_SIZE_MS: u64 = 3_600_000;
 
 /// A daemon that knows of others, hears none and was never told how many there are takes its data
 /// centre for one of so many at least.
-const CUT_OFF: u32 = 100;
+const CUT_OFF_SIZE: u32 = 100;
 
 /// A count that was noted at a time, as long as it is remembered; 0 afterwards.
-fn lately((at, count): (Millis, u32), now: Millis) -> u32 {
-    match now.since(at) < NEAR_MS {
+fn unexpired((at, count): (Millis, u32), now: Millis) -> u32 {
+    match now.since(at) < CENTRE_SIZE_MS {
         true => count,
         false => 0,
     }
@@ -30,33 +30,35 @@
 
 impl Membership {
     /// How many daemons this data centre has, as its hub told lately.
-    fn near_told(&self, now: Millis) -> u32 {
-        lately(self.near, now)
+    fn reported_centre_size(&self, now: Millis) -> u32 {
+        unexpired(self.reported_size, now)
     }
 
     /// How many daemons of this data centre are known, alive or not, this one included: no fewer than were
     /// of late, whether they are heard or not.
-    pub(crate) fn near_known(&self, now: Millis) -> u32 {
-        let counted = lately(self.counted, now);
-        self.near_count().max(counted).max(self.near_told(now))
+    pub(crate) fn known_centre_size(&self, now: Millis) -> u32 {
+        let counted_size = unexpired(self.counted_size, now);
+        self.count_centre()
+            .max(counted_size)
+            .max(self.reported_centre_size(now))
     }
 
-    fn near_count(&self) -> u32 {
-        1 + self.peers.near(&self.me.centre).count() as u32
+    fn count_centre(&self) -> u32 {
+        1 + self.peers.in_centre(&self.me.centre).count() as u32
     }
 
     /// Remembers how many daemons this data centre has, before those that are not heard are forgotten.
-    pub(crate) fn remember_near(&mut self, now: Millis) {
-        let count = self.near_count();
-        if count >= self.near_known(now) {
-            self.counted = (now, count);
+    pub(crate) fn record_centre_size(&mut self, now: Millis) {
+        let count = self.count_centre();
+        if count >= self.known_centre_size(now) {
+            self.counted_size = (now, count);
         }
     }
 
     /// Takes in how many there are, as the hub told.
-    pub(crate) fn on_near_told(&mut self, near: u32, now: Millis) {
-        if near >= self.near_told(now) {
-            self.near = (now, near);
+    pub(crate) fn on_centre_size(&mut self, size: u32, now: Millis) {
+        if size >= self.reported_centre_size(now) {
+            self.reported_size = (now, size);
         }
     }
 
@@ -66,12 +68,12 @@
     pub(crate) fn allowance_share(&mut self, centres: usize, now: Millis) -> Part {
         let own = usize::from(self.is_elected(now));
         let fresh = |t: &&Received| now.since(t.at) < VOTE_MS;
-        let votes = own + self.notes.values().filter(fresh).count();
-        let hears = votes > own || self.sums.values().any(|(_, t)| fresh(&t));
-        let told = hears || self.near_told(now) > 0 || self.peers.len() == 0;
-        let known = match told {
-            true => self.near_known(now),
-            false => self.near_known(now).max(CUT_OFF),
+        let votes = own + self.reports.values().filter(fresh).count();
+        let receives = votes > own || self.centre_loads.values().any(|(_, t)| fresh(&t));
+        let informed = receives || self.reported_centre_size(now) > 0 || self.peers.len() == 0;
+        let known = match informed {
+            true => self.known_centre_size(now),
+            false => self.known_centre_size(now).max(CUT_OFF_SIZE),
         };
         let centres = centres.max(self.peers.centres().count());
         Part {
@@ -83,7 +85,7 @@
     /// Those that keep a part of the allowances, the one of this data centre first.
     pub(crate) fn allocators(&mut self, now: Millis) -> Vec<SocketAddr> {
         let (first, mut others) = match self.is_elected(now) {
-            true => (Some(self.me.address), self.heard_hubs(now)),
+            true => (Some(self.me.address), self.reachable_hubs(now)),
             false => (self.own_hub(now), self.known_hubs(now)),
         };
         others.retain(|o| Some(*o) != first);
--- a/crates/gateway/src/announced.rs
+++ b/crates/gateway/src/announced.rs
@@ -20,7 +20,7 @@
 
 impl Announced {
     /// Whether the engine serves something else than was told last; from now on it was told.
-    pub(crate) fn is_news(&mut self, engine: &Upstream, held: &Held) -> bool {
+    pub(crate) fn update(&mut self, engine: &Upstream, held: &Held) -> bool {
         let known = self.engines.get(engine);
         let same = |k: &Serving| k.incarnation == held.incarnation && k.models == held.models;
         if known.is_some_and(same) {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -275,7 +275,7 @@
         emit(LogEvent::SendFailed, &detail);
     }
     if failure == Failure::Ended {
-        gw.note_crash(job.identity, sent);
+        gw.record_crash(job.identity, sent);
     }
     if let Some(end) = failure.to_end(*start) {
         permit.end(*attempt, end);
--- a/crates/gateway/src/blocked_store.rs
+++ b/crates/gateway/src/blocked_store.rs
@@ -17,29 +17,29 @@
 
 /// How often the reader looks whether all is written down: a part of the seconds after which all
 /// daemons may be gone that know it. Most bystanders have ended well by then and are not written.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A request under which so many upstreams ended is written down.
-const KEPT_ENDS: usize = MOST_ENDS - 1;
+const STORED_ENDS: usize = MOST_ENDS - 1;
 
 /// What is written down, with how many upstreams ended.
 type Written = BTreeMap<Fingerprint, usize>;
 
 /// Writes down such requests, for as long as the process lives.
 pub(crate) async fn run(gw: Rc<Gateway>) {
-    let mut link = StoreHealth::new("blocked");
+    let mut health = StoreHealth::new("blocked");
     let mut written = None;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let now = gw.now();
         if !gw.mesh.borrow_mut().is_reader(now) {
             written = None;
             continue;
         }
         while let Some(result) = step(&gw, &mut written).await {
-            link.note(&gw, &result);
+            health.record(&gw, &result);
             if result.is_err() {
-                link.pause(&gw, true, || false).await;
+                health.back_off(&gw, true, || false).await;
                 break;
             }
         }
@@ -52,7 +52,7 @@
         let all = read(gw).await;
         return Some(all.map(|all| *written = Some(all)));
     };
-    let (request, note) = next(gw, written)?;
+    let (request, note) = next_write(gw, written)?;
     let value = note.as_ref().map_or_else(Vec::new, to_value);
     let key = request.to_hex();
     let appended = gw.store.append(Topic::Blocked, &key, &value, None).await;
@@ -69,14 +69,14 @@
 /// Takes over what another daemon wrote down.
 async fn read(gw: &Gateway) -> StoreResult<Written> {
     let batch = gw.store.newest(Topic::Blocked).await?;
-    let notes: Vec<CrashNote> = batch.records.iter().filter_map(note_of).collect();
+    let notes: Vec<CrashNote> = batch.records.iter().filter_map(parse_note).collect();
     let written = notes.iter().map(|n| (n.identity.request, n.ended.len()));
     let written = written.collect();
-    gw.take_crash_notes(None, notes);
+    gw.on_crash_notes(None, notes);
     Ok(written)
 }
 
-fn note_of(record: &Record) -> Option<CrashNote> {
+fn parse_note(record: &Record) -> Option<CrashNote> {
     let value = record.value.as_deref().filter(|v| !v.is_empty())?;
     let note = serde_json::from_slice(value);
     let note = note.map_err(|e| {
@@ -93,28 +93,28 @@
 
 /// What to write next: a request that counts now and was not written so, or one that no longer counts,
 /// without a note.
-fn next(gw: &Gateway, written: &Written) -> Option<(Fingerprint, Option<CrashNote>)> {
-    let kept = kept(gw, gw.now());
-    let counts: BTreeSet<Fingerprint> = kept.iter().map(|n| n.identity.request).collect();
+fn next_write(gw: &Gateway, written: &Written) -> Option<(Fingerprint, Option<CrashNote>)> {
+    let notes = notes_to_store(gw, gw.now());
+    let counts: BTreeSet<Fingerprint> = notes.iter().map(|n| n.identity.request).collect();
     let is_new = |n: &CrashNote| {
         let known = written.get(&n.identity.request).copied().unwrap_or(0);
         // What is blocked need not be written again.
         known < n.ended.len().min(MOST_ENDS)
     };
-    let new = kept.into_iter().find(is_new);
+    let new = notes.into_iter().find(is_new);
     let new = new.map(|n| (n.identity.request, Some(n)));
     new.or_else(|| {
-        let over = written.keys().find(|r| !counts.contains(*r))?;
-        Some((*over, None))
+        let expired = written.keys().find(|r| !counts.contains(*r))?;
+        Some((*expired, None))
     })
 }
 
 /// The requests that are to be written down. Each is as new as when it is read: no two
 /// processes share a clock.
-fn kept(gw: &Gateway, now: Millis) -> Vec<CrashNote> {
+fn notes_to_store(gw: &Gateway, now: Millis) -> Vec<CrashNote> {
     let router = gw.router.borrow();
     let crashes = router.crashes();
     let grave = crashes.grave(now).into_iter();
-    let kept = grave.filter(|n| crashes.ends(&n.identity.request) >= KEPT_ENDS);
-    kept.map(|n| CrashNote { age: 0, ..n }).collect()
+    let notes = grave.filter(|n| crashes.ends(&n.identity.request) >= STORED_ENDS);
+    notes.map(|n| CrashNote { age: 0, ..n }).collect()
 }
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -60,7 +60,7 @@
         let now = gw.now();
         gw.router.borrow_mut().clear_crashes(request, now);
     }
-    gw.tell_crashes();
+    gw.publish_crashes();
     match found.len() {
         0 => (StatusCode::NOT_FOUND, "no such request\n".to_owned()),
         cleared => (StatusCode::OK, format!("{cleared} cleared\n")),
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -17,7 +17,7 @@
 
 /// The pause between two greetings: one or its answer may be lost, and whoever is greeted may
 /// still be starting.
-const GREET_EVERY: Duration = Duration::from_millis(150);
+const HELLO_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Daemons that start together do so within 300 ms of each other. One that has run for so long
 /// has been greeted by all of them and knows who the hubs are. With a part of the others known
@@ -26,14 +26,14 @@
 
 /// Where nobody has answered a greeting for so long, the store's list has to do: twice what those
 /// greeted take to know the others where all start together.
-const NO_ANSWER: Duration = Duration::from_millis(900);
+const HELLO_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Daemons tell each other their load every 300 ms at the most. Who reads the store for
 /// whom is clear so long after a daemon was told of the others.
-const SETTLE: Duration = Duration::from_millis(700);
+const SETTLE_LIMIT: Duration = Duration::from_millis(700);
 
 /// How often a daemon looks whether it has become a hub that is not listed yet.
-const HUB_LOOK: Duration = Duration::from_millis(1_000);
+const HUB_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// How a daemon is listed for the others.
 #[derive(Debug, Serialize, Deserialize)]
@@ -59,41 +59,41 @@
 
 /// Finds the others, and lists this daemon for them once it is a hub.
 pub(crate) async fn run(gw: Rc<Gateway>) {
-    let mut link = StoreHealth::new("members");
-    let answered = !gw.settings.seeds.is_empty() && greet(&gw).await;
-    let mut listed = false;
+    let mut health = StoreHealth::new("members");
+    let answered = !gw.settings.seeds.is_empty() && send_hello(&gw).await;
+    let mut registered = false;
     if !answered {
-        list(&gw, &mut link).await;
-        listed = true;
-        read_list(&gw, &mut link).await;
+        register(&gw, &mut health).await;
+        registered = true;
+        read_members(&gw, &mut health).await;
     }
     // One that starts alone hears of its hub at once.
-    let heard = || gw.mesh.borrow().has_hub_contact();
+    let contacted = || gw.mesh.borrow().has_hub_contact();
     if gw.settings.first_start {
-        wait_for(heard, SETTLE).await;
+        wait_for(contacted, SETTLE_LIMIT).await;
     }
     gw.settled.set(true);
-    while !listed {
-        tokio::time::sleep(HUB_LOOK).await;
+    while !registered {
+        tokio::time::sleep(HUB_CHECK_INTERVAL).await;
         let now = gw.now();
-        listed = gw.mesh.borrow_mut().is_hub(now);
+        registered = gw.mesh.borrow_mut().is_hub(now);
     }
     if answered {
-        list(&gw, &mut link).await;
+        register(&gw, &mut health).await;
     }
 }
 
 /// Greets the addresses of the settings until somebody answers; whether anybody did.
-async fn greet(gw: &Gateway) -> bool {
+async fn send_hello(gw: &Gateway) -> bool {
     let seeds = gw.settings.seeds.iter();
     let others: Vec<SocketAddr> = seeds.copied().filter(|s| *s != gw.me.address).collect();
-    let met = || gw.introduced.get() || gw.mesh.borrow().has_hub_contact();
+    let known = || gw.introduced.get() || gw.mesh.borrow().has_hub_contact();
     let start = tokio::time::Instant::now();
-    while start.elapsed() < NO_ANSWER {
+    while start.elapsed() < HELLO_TIMEOUT {
         let hello = others.iter().map(|seed| (*seed, Message::Hello));
         gw.send(hello.collect());
-        wait_for(met, GREET_EVERY).await;
-        if met() {
+        wait_for(known, HELLO_INTERVAL).await;
+        if known() {
             return true;
         }
     }
@@ -101,40 +101,40 @@
 }
 
 /// Lists this daemon in the store.
-async fn list(gw: &Gateway, link: &mut StoreHealth) {
+async fn register(gw: &Gateway, health: &mut StoreHealth) {
     let value = MemberRecord::of(&gw.me);
     let key = gw.me.instance.as_str();
     loop {
-        let listed = gw.store.append(Topic::Members, key, &value, None).await;
-        link.note(gw, &listed);
-        if listed.is_ok() {
+        let registered = gw.store.append(Topic::Members, key, &value, None).await;
+        health.record(gw, &registered);
+        if registered.is_ok() {
             return;
         }
-        link.pause(gw, false, || false).await;
+        health.back_off(gw, false, || false).await;
     }
 }
 
 /// Learns of those listed in the store.
-async fn read_list(gw: &Gateway, link: &mut StoreHealth) {
-    let heard = || gw.mesh.borrow().has_hub_contact();
+async fn read_members(gw: &Gateway, health: &mut StoreHealth) {
+    let contacted = || gw.mesh.borrow().has_hub_contact();
     let started = Duration::from_millis(KNOWS_HUBS_AFTER_MS);
-    wait_for(heard, started).await;
+    wait_for(contacted, started).await;
     // One that can't read the list goes on alone after so long.
-    const TRIES: usize = 3;
-    for _ in 0..TRIES {
+    const MAX_READS: usize = 3;
+    for _ in 0..MAX_READS {
         let all = gw.store.newest(Topic::Members).await;
-        link.note(gw, &all);
+        health.record(gw, &all);
         match all {
             Ok(batch) => {
-                batch.records.iter().for_each(|r| learn(gw, r));
+                batch.records.iter().for_each(|r| learn_record(gw, r));
                 return;
             }
-            Err(_) => link.pause(gw, false, || false).await,
+            Err(_) => health.back_off(gw, false, || false).await,
         }
     }
 }
 
-fn learn(gw: &Gateway, record: &Record) {
+fn learn_record(gw: &Gateway, record: &Record) {
     let Ok(instance) = Instance::from_text(&record.key) else {
         return;
     };
@@ -159,11 +159,11 @@
 }
 
 /// Waits until something holds, for so long at the most.
-async fn wait_for(holds: impl Fn() -> bool, most: Duration) {
-    const LOOK: Duration = Duration::from_millis(20);
+async fn wait_for(condition: impl Fn() -> bool, limit: Duration) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
     let start = tokio::time::Instant::now();
-    while !holds() && start.elapsed() < most {
-        tokio::time::sleep(LOOK).await;
+    while !condition() && start.elapsed() < limit {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -4,7 +4,7 @@
 //! centre. Whoever knows nothing fresh takes a copy from the one it follows, or from another hub
 //! ([`crate::handover`]), and else reads the store.
 
-use crate::handover::{self, ConfigCopy, EntriesCopy, Taken};
+use crate::handover::{self, ConfigCopy, EntriesCopy, Fetched};
 use crate::journal::emit;
 use crate::roster::{Change, EntryRecord};
 use crate::state::Gateway;
@@ -18,41 +18,41 @@
 const CONFIG_KEY: &str = "config";
 
 /// How often a follower looks whether the one that it follows has fallen silent.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Where all daemons start together, one gives those that it follows so long to have read the
 /// store: a question before is one in vain.
-const FIRST_COPY: Duration = Duration::from_millis(1_500);
+const FIRST_START_WAIT: Duration = Duration::from_millis(1_500);
 
 /// The same where callers wait already: many daemons may have been killed at once.
-const LATER_COPY: Duration = Duration::from_millis(600);
+const RESTART_WAIT: Duration = Duration::from_millis(600);
 
 /// Follows the configuration for as long as the process lives.
 pub(crate) async fn config(gw: Rc<Gateway>) {
-    let mut link = StoreHealth::new("config");
+    let mut health = StoreHealth::new("config");
     let mut next = None;
-    settle_first(&gw).await;
+    wait_until_settled(&gw).await;
     if gw.settings.first_start || !copy_config(&gw, &mut next).await {
-        wait_for_first(&gw, || gw.followed_config().is_some()).await;
+        wait_for_followed(&gw, || gw.followed_config().is_some()).await;
     }
     loop {
         wait_for_change(&gw, next).await;
         if !gw.is_reader() && copy_config(&gw, &mut next).await {
             continue;
         }
-        let asked = gw.now();
+        let requested = gw.now();
         let result = read_config(&gw, next).await;
-        link.note(&gw, &result);
+        health.record(&gw, &result);
         match result {
             Ok(batch) => {
                 // Before the first configuration there is nothing to wait at.
                 let empty = next.is_none() && batch.records.is_empty();
                 next = Some(batch.next);
-                let at = gw.came_at().max(asked);
-                note_read(&gw, batch.next, at, asked);
-                take_config(&gw, &batch);
+                let at = gw.came_at().max(requested);
+                record_read(&gw, batch.next, at, requested);
+                apply_config(&gw, &batch);
                 if empty {
-                    link.pause(&gw, true, || false).await;
+                    health.back_off(&gw, true, || false).await;
                 }
             }
             Err(StoreError::Gap) => next = None,
@@ -63,17 +63,17 @@
                     copy_config(&gw, &mut next).await;
                 }
                 let fresh = || gw.followed_config().is_some();
-                link.pause(&gw, reader, || !reader && fresh()).await;
+                health.back_off(&gw, reader, || !reader && fresh()).await;
             }
         }
     }
 }
 
 /// Notes a read of the configuration: as of when it is, and when it was asked for.
-fn note_read(gw: &Gateway, next: u64, at: Millis, asked: Millis) {
+fn record_read(gw: &Gateway, next: u64, at: Millis, requested: Millis) {
     let mut reading = gw.reading.borrow_mut();
     reading.on_config(next, at);
-    reading.on_confirmed(next, asked);
+    reading.on_confirmed(next, requested);
 }
 
 /// Reads the configuration from `next` on, or all of it. Only the one who reads for the others
@@ -95,39 +95,44 @@
 }
 
 /// Gives a daemon that starts the time to find out who the others are.
-async fn settle_first(gw: &Rc<Gateway>) {
+async fn wait_until_settled(gw: &Rc<Gateway>) {
     let settled = || gw.settled.get();
     while !settled() {
-        tokio::time::sleep(SETTLE_LOOK).await;
+        tokio::time::sleep(SETTLE_POLL).await;
     }
 }
 
 /// Waits until the one that this daemon follows knows the store: it may have started at the same
 /// time.
-async fn wait_for_first(gw: &Gateway, knows: impl Fn() -> bool) {
-    let most = match gw.settings.first_start {
-        true => FIRST_COPY,
-        false => LATER_COPY,
+async fn wait_for_followed(gw: &Gateway, known: impl Fn() -> bool) {
+    let limit = match gw.settings.first_start {
+        true => FIRST_START_WAIT,
+        false => RESTART_WAIT,
     };
-    let limit = tokio::time::Instant::now() + most;
-    while !gw.is_reader() && !knows() && tokio::time::Instant::now() < limit {
-        tokio::time::sleep(SETTLE_LOOK).await;
+    let limit = tokio::time::Instant::now() + limit;
+    while !gw.is_reader() && !known() && tokio::time::Instant::now() < limit {
+        tokio::time::sleep(SETTLE_POLL).await;
     }
 }
 
 /// How often a daemon that starts looks whether it knows the others.
-const SETTLE_LOOK: Duration = Duration::from_millis(20);
+const SETTLE_POLL: Duration = Duration::from_millis(20);
 
 /// Takes a copy of the configuration from another daemon. Returns whether it is at least as
 /// new as what is known.
 async fn copy_config(gw: &Gateway, next: &mut Option<u64>) -> bool {
-    let Some(Taken { copy, at, asked }) = handover::config(gw).await else {
+    let Some(Fetched {
+        copy,
+        at,
+        requested,
+    }) = handover::config(gw).await
+    else {
         return false;
     };
     let ConfigCopy {
         next: end,
         record,
-        certain,
+        confirmed,
         ..
     } = copy;
     if next.is_some_and(|n| n > end) {
@@ -136,12 +141,12 @@
     *next = Some(end);
     let mut reading = gw.reading.borrow_mut();
     reading.on_config_copied(end, at);
-    if let Some(age) = certain {
-        reading.on_confirmed(end, Millis(asked.0.saturating_sub(age)));
+    if let Some(age) = confirmed {
+        reading.on_confirmed(end, Millis(requested.0.saturating_sub(age)));
     }
     drop(reading);
     if let Some(record) = record {
-        take_config_record(gw, &record);
+        apply_config_record(gw, &record);
     }
     true
 }
@@ -155,19 +160,19 @@
         }
         tokio::select! {
             () = gw.marked.notified() => {}
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
     }
 }
 
-fn take_config(gw: &Gateway, batch: &Batch) {
+fn apply_config(gw: &Gateway, batch: &Batch) {
     let newest = batch.records.iter().rev().find(|r| r.key == CONFIG_KEY);
     if let Some(value) = newest.and_then(|r| r.value.as_ref()) {
-        take_config_record(gw, value);
+        apply_config_record(gw, value);
     }
 }
 
-fn take_config_record(gw: &Gateway, value: &[u8]) {
+fn apply_config_record(gw: &Gateway, value: &[u8]) {
     match gw.codec.table(value) {
         Ok(table) => {
             if gw.set_table(table) {
@@ -181,11 +186,11 @@
 
 /// Follows the upstreams' entries for as long as the process lives.
 pub(crate) async fn upstreams(gw: Rc<Gateway>) {
-    let mut link = StoreHealth::new("upstreams");
+    let mut health = StoreHealth::new("upstreams");
     let mut next = None;
-    settle_first(&gw).await;
+    wait_until_settled(&gw).await;
     if gw.settings.first_start || !copy_entries(&gw).await {
-        wait_for_first(&gw, || gw.reading.borrow().has_position()).await;
+        wait_for_followed(&gw, || gw.reading.borrow().has_position()).await;
     }
     loop {
         let every = gw.settings.policy.read_every.0;
@@ -196,20 +201,20 @@
             tokio::time::sleep(Duration::from_millis(every / 4)).await;
             continue;
         }
-        let position = gw.reading.borrow().position();
-        let asked = gw.now();
+        let position = gw.reading.borrow().followed_position();
+        let requested = gw.now();
         let result = match next {
             None => gw.store.newest(Topic::Upstreams).await,
             Some(from) => gw.store.tail(Topic::Upstreams, from, Millis(0)).await,
         };
-        link.note(&gw, &result);
+        health.record(&gw, &result);
         match result {
             Ok(batch) => {
-                take_batch(&gw, &batch, next.is_none());
+                apply_batch(&gw, &batch, next.is_none());
                 next = Some(batch.next);
                 gw.entries_next.set(batch.next);
                 gw.listed.set(true);
-                let at = gw.came_at().max(asked);
+                let at = gw.came_at().max(requested);
                 gw.reading.borrow_mut().on_entries(position, at);
                 let jitter = gw.draw() % (every / 8 + 1);
                 tokio::time::sleep(Duration::from_millis(every - jitter)).await;
@@ -218,7 +223,9 @@
             Err(_) => {
                 gw.reading.borrow_mut().on_entries_failed();
                 let copied = reader && copy_entries(&gw).await;
-                link.pause(&gw, reader, || !reader && gw.follows()).await;
+                health
+                    .back_off(&gw, reader, || !reader && gw.follows())
+                    .await;
                 if copied {
                     next = None;
                     tokio::time::sleep(Duration::from_millis(every / 2)).await;
@@ -230,7 +237,7 @@
 
 /// Takes a copy of the upstreams' entries from another daemon.
 async fn copy_entries(gw: &Gateway) -> bool {
-    let Some(Taken { copy, at, .. }) = handover::entries(gw).await else {
+    let Some(Fetched { copy, at, .. }) = handover::entries(gw).await else {
         return false;
     };
     let EntriesCopy {
@@ -284,11 +291,11 @@
     }
 }
 
-fn take_batch(gw: &Gateway, batch: &Batch, all: bool) {
+fn apply_batch(gw: &Gateway, batch: &Batch, all: bool) {
     let now = gw.now();
-    let seen = batch.records.iter().filter_map(|r| seen_of(gw, r));
+    let seen = batch.records.iter().filter_map(|r| parse_record(gw, r));
     if !all {
-        gw.take_entries(seen.collect(), now);
+        gw.apply_entries(seen.collect(), now);
         return;
     }
     let listed = seen.filter(|s| s.entry.is_some()).collect();
@@ -298,7 +305,7 @@
 
 impl Gateway {
     /// Takes in records, whichever way they came.
-    pub(crate) fn take_entries(&self, records: Vec<EntryRecord>, now: Millis) {
+    pub(crate) fn apply_entries(&self, records: Vec<EntryRecord>, now: Millis) {
         let mut roster = self.roster.borrow_mut();
         let changes = records
             .into_iter()
@@ -311,7 +318,7 @@
     /// Applies changes, and tells those who follow this daemon's reading.
     pub(crate) fn apply_all(&self, changes: Vec<Change>) {
         let roster = self.roster.borrow();
-        let told = changes.iter().map(|c| {
+        let announced = changes.iter().map(|c| {
             let name = c.upstream();
             EntryRecord {
                 name: name.clone(),
@@ -319,20 +326,20 @@
                 entry: roster.get(name).cloned(),
             }
         });
-        let told: Vec<EntryRecord> = told.collect();
+        let announced: Vec<EntryRecord> = announced.collect();
         drop(roster);
         for change in changes {
             self.apply(change);
         }
-        self.send_changes(&told);
+        self.send_changes(&announced);
     }
 }
 
 /// What a record says of an upstream. One that can't be understood names none to use: nothing
 /// tells whether the upstream of its key is still as it was.
-fn seen_of(gw: &Gateway, record: &Record) -> Option<EntryRecord> {
+fn parse_record(gw: &Gateway, record: &Record) -> Option<EntryRecord> {
     let skip = |reason: &str| {
-        if gw.skipped.borrow_mut().is_news(&record.key, reason) {
+        if gw.skipped.borrow_mut().is_new(&record.key, reason) {
             let detail = format!("key={:?} reason={reason:?}", record.key);
             emit(LogEvent::EntrySkipped, &detail);
         }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -18,19 +18,19 @@
 use tokio::sync::mpsc;
 
 /// The largest datagram that is read.
-const MOST_BYTES: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// The most models and adapters that a daemon tells to be asked for, the most wanted first.
-const MOST_RATES: usize = 64;
+const MAX_RATES: usize = 64;
 
 /// The same for what they were asked for in vain, the longest waits first. As these are met others get
 /// their turn, so that none is left out for good.
-const MOST_UNMET: usize = 64;
+const MAX_UNMET: usize = 64;
 
 /// Load is told the less often, the more daemons there are: so many milliseconds for each
 /// of them, within these bounds. A hub's own link is what limits it.
-const TICK_PER_DAEMON: u64 = 3;
-const TICK_BOUNDS: (u64, u64) = (120, 300);
+const TICK_PER_DAEMON_MS: u64 = 3;
+const TICK_BOUNDS_MS: (u64, u64) = (120, 300);
 
 /// What is sent between two notes of load.
 pub(crate) type Outbox = mpsc::UnboundedReceiver<Addressed>;
@@ -53,18 +53,18 @@
 }
 
 /// The part of the time that engines are at work on prompts, on days of high load.
-const AT_WORK: f64 = 0.4;
+const BUSY_SHARE: f64 = 0.4;
 
 /// What a daemon tells reaches the others through its hub and theirs.
 const HOPS: f64 = 2.0;
 
 /// The part of an engine's work that is for models for which other hubs choose: it holds three,
 /// and one has most of the requests.
-const OTHERS_PART: f64 = 0.3;
+const OTHER_HUBS_SHARE: f64 = 0.3;
 
 /// The part of the pace for a daemon's own prompts where it chooses beside the others; see
 /// [`PeerSight::own_part`].
-const OWN_PART: f64 = 0.1;
+const OWN_SHARE: f64 = 0.1;
 
 impl Gateway {
     /// How well this daemon knows what the others send. What arrives at an upstream since they
@@ -77,14 +77,14 @@
         if mesh.is_hub(now) {
             let hubs = mesh.choosers(now) as f64;
             return PeerSight {
-                unseen: age * AT_WORK * OTHERS_PART * (1.0 - 1.0 / hubs),
+                unseen: age * BUSY_SHARE * OTHER_HUBS_SHARE * (1.0 - 1.0 / hubs),
                 own_part: 1.0,
             };
         }
         let daemons = mesh.alive() as f64;
         PeerSight {
-            unseen: age * HOPS * AT_WORK * (1.0 - 1.0 / daemons),
-            own_part: OWN_PART,
+            unseen: age * HOPS * BUSY_SHARE * (1.0 - 1.0 / daemons),
+            own_part: OWN_SHARE,
         }
     }
 }
@@ -92,7 +92,7 @@
 async fn tick(gw: &Gateway, socket: &UdpSocket) {
     let messages = periodic_messages(gw);
     send_all(socket, messages).await;
-    pass_loads(gw);
+    update_peer_loads(gw);
 }
 
 /// What this daemon tells the others now.
@@ -102,12 +102,12 @@
     let sight = gw.sight();
     gw.router.borrow_mut().set_sight(sight);
     let now = gw.now();
-    let note = load_note(gw);
+    let note = load_report(gw);
     let position = gw.reading.borrow().read_position(now);
     let crashes = gw.router.borrow().crashes().digest();
     let known = HubStatus { position, crashes };
     let messages = gw.mesh.borrow_mut().tick(&note, known, now);
-    let asked = gw.mesh.borrow_mut().ask_as_new_hub(now);
+    let asked = gw.mesh.borrow_mut().new_hub_targets(now);
     let asked = asked.into_iter();
     let asked = asked.map(|t| (t, Message::CrashesRequest { all: true }));
     let messages = messages.into_iter().chain(asked);
@@ -127,7 +127,7 @@
 }
 
 /// What this daemon tells of its load.
-fn load_note(gw: &Gateway) -> LoadReport {
+fn load_report(gw: &Gateway) -> LoadReport {
     let now = gw.now();
     let router = gw.router.borrow();
     let note = |l: PeerLoad| UpstreamLoad {
@@ -142,14 +142,14 @@
     LoadReport {
         sent: now,
         daemons: 1,
-        planner: planner_note(gw, now),
+        planner: planner_info(gw, now),
         upstreams: loads.collect(),
-        demand: asked_note(gw, now),
+        demand: demand_report(gw, now),
     }
 }
 
 /// What this daemon tells of itself as the planner; none where it is not.
-pub(crate) fn planner_note(gw: &Gateway, now: Millis) -> Option<PlannerInfo> {
+pub(crate) fn planner_info(gw: &Gateway, now: Millis) -> Option<PlannerInfo> {
     let claim = gw.claim.borrow();
     let (fence, renewed) = (claim.fence(now)?, claim.renewed()?);
     let note = PlannerInfo {
@@ -162,16 +162,16 @@
 }
 
 /// What this daemon's callers ask for.
-fn asked_note(gw: &Gateway, now: Millis) -> DemandReport {
+fn demand_report(gw: &Gateway, now: Millis) -> DemandReport {
     let rates = gw.demand.borrow_mut().rates(now);
     let rates = rates
         .iter()
         .map(|((m, a), r)| (Tag::of_model(m, a.as_ref()), *r));
     let mut rates: Vec<(Tag, Rate)> = rates.collect();
     rates.sort_by(|a, b| b.1.work.total_cmp(&a.1.work));
-    rates.truncate(MOST_RATES);
+    rates.truncate(MAX_RATES);
     let mut unmet = gw.unmet.borrow_mut();
-    let unmet = unmet.longest(MOST_UNMET, now).into_iter();
+    let unmet = unmet.longest(MAX_UNMET, now).into_iter();
     DemandReport {
         rates: rates.into_iter().collect(),
         unmet: unmet.map(|(m, a, u)| (Tag::of_model(m, a), u)).collect(),
@@ -179,7 +179,7 @@
 }
 
 /// Tells the router what the others have.
-fn pass_loads(gw: &Gateway) {
+fn update_peer_loads(gw: &Gateway) {
     let loads = gw.mesh.borrow().other_loads(gw.now());
     let names: Vec<Upstream> = gw.router.borrow().names().cloned().collect();
     for upstream in names {
@@ -198,7 +198,7 @@
 
 /// Takes in other daemons' datagrams for as long as the process lives.
 pub(crate) async fn receive(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut buffer).await else {
             // An earlier datagram reached nobody; the socket itself is sound.
@@ -228,33 +228,33 @@
     }
     match message {
         Message::Load(note) => {
-            heard_planner(gw, note.planner);
+            on_planner_info(gw, note.planner);
             let mut mesh = gw.mesh.borrow_mut();
             let correction = mesh.correct_follower(&from, now);
-            mesh.on_note(&from, note, now);
+            mesh.on_load(&from, note, now);
             drop(mesh);
             let members = correction.map(|c| (from.address, Message::Members(c)));
             gw.send(members.into_iter().collect());
         }
         Message::CentreLoad(note) => {
-            let hub = gw.mesh.borrow_mut().forward_target(now);
-            gw.pass(&from, hub, Message::ForwardedLoad(note.clone()));
-            take_sum(gw, &from, note, now);
+            let hub = gw.mesh.borrow_mut().actual_hub(now);
+            gw.forward(&from, hub, Message::ForwardedLoad(note.clone()));
+            on_centre_load(gw, &from, note, now);
         }
-        Message::ForwardedLoad(note) => take_sum(gw, &from, note, now),
+        Message::ForwardedLoad(note) => on_centre_load(gw, &from, note, now),
         Message::TotalLoad(total) => {
-            heard_planner(gw, total.load.planner);
-            gw.mesh.borrow_mut().on_total(&from, &total, now);
+            on_planner_info(gw, total.load.planner);
+            gw.mesh.borrow_mut().on_total_load(&from, &total, now);
             correct_hub(gw, &from, now);
-            gw.compare_crashes(&from, total.crashes);
-            take_mark(gw, &from, total.position, total.ack, now);
+            gw.on_crashes_digest(&from, total.crashes);
+            on_read_position(gw, &from, total.position, total.ack, now);
         }
-        Message::Crashes { notes } => gw.take_crash_notes(Some(&from), notes),
-        Message::CrashesRequest { all } => gw.answer_crashes(&from, all),
-        Message::ReadPosition(position) => take_mark(gw, &from, Some(position), None, now),
-        Message::Hello => greet(gw, &from, now),
+        Message::Crashes { notes } => gw.on_crash_notes(Some(&from), notes),
+        Message::CrashesRequest { all } => gw.on_crashes_request(&from, all),
+        Message::ReadPosition(position) => on_read_position(gw, &from, Some(position), None, now),
+        Message::Hello => on_hello(gw, &from, now),
         Message::Members(note) => {
-            gw.mesh.borrow_mut().on_members(&note, now);
+            gw.mesh.borrow_mut().on_member_list(&note, now);
             gw.introduced.set(true);
         }
         Message::EntryChanges { number, entries } => {
@@ -267,7 +267,7 @@
                         offset,
                         entry,
                     });
-                gw.take_entries(seen.collect(), now);
+                gw.apply_entries(seen.collect(), now);
             }
         }
         Message::Ask(ticket, note) => gw.take_ask(&from, ticket, *note),
@@ -293,26 +293,26 @@
             gw.wants.borrow_mut().insert((model, adapter), now);
             gw.plan_now.notify_one();
         }
-        Message::PlannerUpdate(news) => {
-            let concerns = gw.take_news(&news);
-            let targets = gw.mesh.borrow_mut().pass_on(&from, concerns, now);
+        Message::PlannerUpdate(update) => {
+            let audience = gw.on_planner_update(&update);
+            let targets = gw.mesh.borrow_mut().forward_targets(&from, audience, now);
             let passed = targets.into_iter();
             gw.send(
                 passed
-                    .map(|t| (t, Message::PlannerUpdate(news.clone())))
+                    .map(|t| (t, Message::PlannerUpdate(update.clone())))
                     .collect(),
             );
         }
     }
 }
 
-fn take_sum(gw: &Gateway, from: &Sender, note: HubReport, now: Millis) {
-    heard_planner(gw, note.load.planner);
-    gw.compare_crashes(from, note.crashes);
+fn on_centre_load(gw: &Gateway, from: &Sender, note: HubReport, now: Millis) {
+    on_planner_info(gw, note.load.planner);
+    gw.on_crashes_digest(from, note.crashes);
     let (position, ack) = (note.position, note.ack);
     correct_hub(gw, from, now);
-    gw.mesh.borrow_mut().on_sum(from, note, now);
-    take_mark(gw, from, position, ack, now);
+    gw.mesh.borrow_mut().on_centre_load(from, note, now);
+    on_read_position(gw, from, position, ack, now);
 }
 
 /// Names the hub to a daemon that speaks as one beside it.
@@ -323,7 +323,7 @@
 }
 
 /// Takes in how far the one that this daemon follows knows the store.
-fn take_mark(
+fn on_read_position(
     gw: &Gateway,
     from: &Sender,
     position: Option<ReadPosition>,
@@ -340,8 +340,8 @@
     let ack = ack.filter(|e| e.incarnation == gw.me.incarnation);
     if let (Some(ack), Some(age)) = (ack, position.confirmed_age) {
         // What came after a note of this daemon is no older than that, however long it was on its way.
-        let told = ack.sent.plus(u64::from(ack.held));
-        let at = Millis(told.0.saturating_sub(u64::from(age)));
+        let sent = ack.sent.plus(u64::from(ack.age));
+        let at = Millis(sent.0.saturating_sub(u64::from(age)));
         reading.on_confirmed(position.config, at);
     }
     drop(reading);
@@ -349,14 +349,14 @@
 }
 
 /// Tells a daemon that starts who the hubs are, once this one knows.
-fn greet(gw: &Gateway, from: &Sender, now: Millis) {
+fn on_hello(gw: &Gateway, from: &Sender, now: Millis) {
     if gw.knows_others() {
-        let members = gw.mesh.borrow_mut().members(now);
+        let members = gw.mesh.borrow_mut().member_list(now);
         gw.send(vec![(from.address, Message::Members(members))]);
     }
 }
 
-fn heard_planner(gw: &Gateway, note: Option<PlannerInfo>) {
+fn on_planner_info(gw: &Gateway, note: Option<PlannerInfo>) {
     let mine = gw.mesh.borrow().address();
     if let Some(planner) = note.filter(|p| p.address != mine) {
         let began = gw.now().0.saturating_sub(u64::from(planner.age));
@@ -368,8 +368,8 @@
     /// How often load is told.
     pub(crate) fn report_interval(&self) -> Millis {
         let known = self.mesh.borrow().known() as u64;
-        let (least, most) = TICK_BOUNDS;
-        Millis((known * TICK_PER_DAEMON).clamp(least, most))
+        let (min_interval, max_interval) = TICK_BOUNDS_MS;
+        Millis((known * TICK_PER_DAEMON_MS).clamp(min_interval, max_interval))
     }
 
     /// Puts messages into the outbox.
@@ -390,7 +390,7 @@
     }
 
     /// Passes on what another daemon sent.
-    fn pass(&self, from: &Sender, to: Option<SocketAddr>, message: Message) {
+    fn forward(&self, from: &Sender, to: Option<SocketAddr>, message: Message) {
         let datagram = Datagram {
             from: from.clone(),
             message,
@@ -402,21 +402,24 @@
     }
 
     /// Takes in what the planner knows and tells the others.
-    pub(crate) fn spread(&self, news: &PlannerUpdate) {
-        let concerns = self.take_news(news);
-        let targets = self.mesh.borrow_mut().spread(concerns, self.now());
+    pub(crate) fn broadcast(&self, update: &PlannerUpdate) {
+        let audience = self.on_planner_update(update);
+        let targets = self
+            .mesh
+            .borrow_mut()
+            .broadcast_targets(audience, self.now());
         let messages = targets.into_iter();
         self.send(
             messages
-                .map(|t| (t, Message::PlannerUpdate(news.clone())))
+                .map(|t| (t, Message::PlannerUpdate(update.clone())))
                 .collect(),
         );
     }
 
     /// Takes in news of the planner; says whom it concerns.
-    fn take_news(&self, news: &PlannerUpdate) -> Audience {
+    fn on_planner_update(&self, update: &PlannerUpdate) -> Audience {
         let now = self.now();
-        match news {
+        match update {
             PlannerUpdate::Retire {
                 engine,
                 incarnation,
@@ -428,7 +431,7 @@
                 Audience::All
             }
             PlannerUpdate::Renewed(planner) => {
-                heard_planner(self, Some(*planner));
+                on_planner_info(self, Some(*planner));
                 self.mesh.borrow_mut().on_renewed(*planner, now);
                 Audience::Hubs
             }
@@ -468,12 +471,12 @@
     /// Tells those who follow this daemon which entries changed.
     pub(crate) fn send_changes(&self, changes: &[EntryRecord]) {
         /// A datagram holds so many entries; one is some hundred bytes.
-        const ENTRIES: usize = 4;
+        const ENTRIES_PER_DATAGRAM: usize = 4;
         if changes.is_empty() {
             return;
         }
         let followers = self.mesh.borrow_mut().followers(self.now());
-        for part in changes.chunks(ENTRIES) {
+        for part in changes.chunks(ENTRIES_PER_DATAGRAM) {
             let number = self.reading.borrow_mut().next_number();
             let message = |t: &SocketAddr| {
                 let entries = part.iter();
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -30,13 +30,13 @@
 
 /// How long a copy may take: a configuration of some hundred models has 60 KB, and thirty
 /// daemons may ask a hub for it at once.
-const LIMIT: Duration = Duration::from_millis(600);
+const COPY_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The largest copy that is taken.
-const MOST_BYTES: usize = 8 << 20;
+const MAX_COPY_BYTES: usize = 8 << 20;
 
 /// How long a connection to another daemon is kept.
-const KEEP: Duration = Duration::from_secs(10);
+const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
 /// The configuration as a daemon has read it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     /// How long ago that was the end, in milliseconds.
     pub(crate) age: u64,
     /// How long ago that was certainly the end.
-    pub(crate) certain: Option<u64>,
+    pub(crate) confirmed: Option<u64>,
     /// The record itself; none where there is no configuration yet.
     pub(crate) record: Option<Vec<u8>>,
 }
@@ -98,7 +98,7 @@
     Some(ConfigCopy {
         next,
         age: gw.now().since(at),
-        certain: gw.config_age().map(|a| a.0),
+        confirmed: gw.config_age().map(|a| a.0),
         record: gw.config_record.borrow().as_ref().map(|r| r.to_vec()),
     })
 }
@@ -137,11 +137,11 @@
 }
 
 /// Asks one daemon for a copy that is not older than `most`.
-async fn ask<T: Aged>(
+async fn fetch_from<T: Aged>(
     gw: &Gateway,
     peer: SocketAddr,
     path: &'static str,
-    most: Millis,
+    max_age: Millis,
 ) -> Result<T, String> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(path);
@@ -154,11 +154,11 @@
     let exchange = async {
         let mut exchange = gw.pool.send(&target, request).await?;
         let status = exchange.status();
-        let body = exchange.collect(MOST_BYTES).await?;
-        exchange.finish(KEEP);
+        let body = exchange.collect(MAX_COPY_BYTES).await?;
+        exchange.finish(KEEP_ALIVE);
         Ok::<_, SendError>((status, body))
     };
-    let answer = tokio::time::timeout(LIMIT, exchange).await;
+    let answer = tokio::time::timeout(COPY_TIMEOUT, exchange).await;
     let (status, body) = answer
         .map_err(|e| e.to_string())?
         .map_err(|e| e.to_string())?;
@@ -166,30 +166,34 @@
         return Err("it has read nothing yet".to_owned());
     }
     let copy: T = postcard::from_bytes(&body).map_err(|e| e.to_string())?;
-    if copy.age() >= most.0 {
+    if copy.age() >= max_age.0 {
         return Err(format!("it is {} ms old", copy.age()));
     }
     Ok(copy)
 }
 
 /// A copy, as of when it is, and when it was asked for.
-pub(crate) struct Taken<T> {
+pub(crate) struct Fetched<T> {
     pub(crate) copy: T,
     pub(crate) at: Millis,
-    pub(crate) asked: Millis,
+    pub(crate) requested: Millis,
 }
 
 /// The first fresh copy that a daemon has which may have read the store for this one: a
 /// follower asks its hub, a hub the others.
-async fn take<T: Aged>(gw: &Gateway, path: &'static str, most: Millis) -> Option<Taken<T>> {
+async fn fetch<T: Aged>(gw: &Gateway, path: &'static str, max_age: Millis) -> Option<Fetched<T>> {
     let sources = gw.mesh.borrow_mut().sources(gw.now());
     for peer in sources {
-        let asked = gw.now();
-        match ask::<T>(gw, peer, path, most).await {
+        let requested = gw.now();
+        match fetch_from::<T>(gw, peer, path, max_age).await {
             Ok(copy) => {
-                let came = gw.came_at().max(asked);
+                let came = gw.came_at().max(requested);
                 let at = Millis(came.0.saturating_sub(copy.age()));
-                return Some(Taken { copy, at, asked });
+                return Some(Fetched {
+                    copy,
+                    at,
+                    requested,
+                });
             }
             Err(reason) if gw.lines.take(gw.now()) => {
                 let detail = format!("peer={peer} path={path} reason={reason:?}");
@@ -203,11 +207,11 @@
 }
 
 /// A fresh copy of the configuration.
-pub(crate) async fn config(gw: &Gateway) -> Option<Taken<ConfigCopy>> {
-    take(gw, CONFIG_PATH, gw.freshness().config).await
+pub(crate) async fn config(gw: &Gateway) -> Option<Fetched<ConfigCopy>> {
+    fetch(gw, CONFIG_PATH, gw.freshness().config).await
 }
 
 /// A fresh copy of the upstreams' entries.
-pub(crate) async fn entries(gw: &Gateway) -> Option<Taken<EntriesCopy>> {
-    take(gw, ENTRIES_PATH, gw.freshness().entries).await
+pub(crate) async fn entries(gw: &Gateway) -> Option<Fetched<EntriesCopy>> {
+    fetch(gw, ENTRIES_PATH, gw.freshness().entries).await
 }
--- a/crates/gateway/src/hub_election.rs
+++ b/crates/gateway/src/hub_election.rs
@@ -16,7 +16,7 @@
     hub: Option<Instance>,
     since: Millis,
     /// Those that were silent, until they speak as a hub.
-    passed: BTreeSet<Instance>,
+    passed_over: BTreeSet<Instance>,
 }
 
 impl CentreHub {
@@ -24,7 +24,7 @@
         Self {
             hub: None,
             since: now,
-            passed: BTreeSet::new(),
+            passed_over: BTreeSet::new(),
         }
     }
 }
@@ -35,7 +35,7 @@
     me: Instance,
     /// Whether this daemon stops, and is no hub any more.
     resigned: bool,
-    seats: BTreeMap<DataCentre, CentreHub>,
+    centres: BTreeMap<DataCentre, CentreHub>,
 }
 
 impl HubElection {
@@ -43,7 +43,7 @@
         Self {
             me,
             resigned: false,
-            seats: BTreeMap::new(),
+            centres: BTreeMap::new(),
         }
     }
 
@@ -59,44 +59,44 @@
 
     /// Notes that a hub has resigned.
     pub(crate) fn on_resigned(&mut self, from: &Sender) {
-        if let Some(seat) = self.seats.get_mut(&from.centre) {
-            seat.passed.insert(from.instance.clone());
-            if seat.hub.as_ref() == Some(&from.instance) {
-                seat.hub = None;
+        if let Some(state) = self.centres.get_mut(&from.centre) {
+            state.passed_over.insert(from.instance.clone());
+            if state.hub.as_ref() == Some(&from.instance) {
+                state.hub = None;
             }
         }
     }
 
     /// Notes that a daemon spoke as the hub of its data centre.
-    pub(crate) fn on_hub(&mut self, from: &Sender, peers: &Peers, now: Millis) {
-        let better = self.is_better(from, peers, now);
-        let Some(seat) = self.seats.get_mut(&from.centre) else {
+    pub(crate) fn on_hub_message(&mut self, from: &Sender, peers: &Peers, now: Millis) {
+        let better = self.outranks(from, peers, now);
+        let Some(state) = self.centres.get_mut(&from.centre) else {
             return;
         };
-        seat.passed.remove(&from.instance);
-        if better || seat.hub.as_ref() == Some(&from.instance) {
-            seat.hub = Some(from.instance.clone());
-            seat.since = now;
+        state.passed_over.remove(&from.instance);
+        if better || state.hub.as_ref() == Some(&from.instance) {
+            state.hub = Some(from.instance.clone());
+            state.since = now;
         }
     }
 
     /// Notes that another daemon takes this one for the hub of its data centre. It has the time
     /// to speak for itself that any other has.
-    pub(crate) fn on_told(&mut self, hub: &Sender, peers: &Peers, now: Millis) {
-        let better = self.is_better(hub, peers, now);
-        let Some(seat) = self.seats.get_mut(&hub.centre) else {
+    pub(crate) fn on_reported(&mut self, hub: &Sender, peers: &Peers, now: Millis) {
+        let better = self.outranks(hub, peers, now);
+        let Some(state) = self.centres.get_mut(&hub.centre) else {
             return;
         };
         // Whoever tells has heard it a moment ago, even where this daemon has not.
-        seat.passed.remove(&hub.instance);
+        state.passed_over.remove(&hub.instance);
         if better {
-            seat.hub = Some(hub.instance.clone());
-            seat.since = now;
+            state.hub = Some(hub.instance.clone());
+            state.since = now;
         }
     }
 
     /// Whether a daemon comes before the one that is taken for the hub of its data centre.
-    fn is_better(&mut self, from: &Sender, peers: &Peers, now: Millis) -> bool {
+    fn outranks(&mut self, from: &Sender, peers: &Peers, now: Millis) -> bool {
         let current = self.hub(&from.centre, peers, now);
         let before = |hub: &Instance| peers.rank(&from.instance) < peers.rank(hub);
         current.is_none_or(|hub| before(&hub))
@@ -109,14 +109,14 @@
         peers: &Peers,
         now: Millis,
     ) -> Option<Instance> {
-        if !self.seats.contains_key(centre) {
-            self.seats.insert(centre.clone(), CentreHub::new(now));
+        if !self.centres.contains_key(centre) {
+            self.centres.insert(centre.clone(), CentreHub::new(now));
         }
         let (me, resigned) = (&self.me, self.resigned);
-        let seat = self.seats.get_mut(centre)?;
-        if let Some(hub) = &seat.hub {
-            let heard = peers.get(hub).and_then(|p| p.heard);
-            let last = heard.unwrap_or(Millis(0)).max(seat.since);
+        let state = self.centres.get_mut(centre)?;
+        if let Some(hub) = &state.hub {
+            let last_datagram = peers.get(hub).and_then(|p| p.last_datagram);
+            let last = last_datagram.unwrap_or(Millis(0)).max(state.since);
             let silent = hub != me && now.since(last) >= SILENT_MS;
             // This daemon is the hub only while it knows of none before it.
             let known = hub != me && peers.get(hub).is_some();
@@ -124,22 +124,22 @@
                 return Some(hub.clone());
             }
             if silent {
-                seat.passed.insert(hub.clone());
+                state.passed_over.insert(hub.clone());
             }
         }
-        let first = |seat: &CentreHub| {
+        let first = |state: &CentreHub| {
             let able = peers.ranked(centre).filter(|c| *c != me || !resigned);
-            let mut candidates = able.filter(|c| !seat.passed.contains(*c));
+            let mut candidates = able.filter(|c| !state.passed_over.contains(*c));
             candidates.next().cloned()
         };
-        let next = first(seat).or_else(|| {
+        let next = first(state).or_else(|| {
             // Perhaps it was this daemon that could not hear them.
-            seat.passed.clear();
-            first(seat)
+            state.passed_over.clear();
+            first(state)
         });
-        if next != seat.hub {
-            seat.since = now;
-            seat.hub.clone_from(&next);
+        if next != state.hub {
+            state.since = now;
+            state.hub.clone_from(&next);
         }
         next
     }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -20,21 +20,21 @@
 use std::net::SocketAddr;
 
 /// What a daemon told counts for so long.
-const STALE_MS: u64 = 1_500;
+const REPORT_STALE_MS: u64 = 1_500;
 
 /// What callers ask for is believed for so long where nobody says anything else. A data centre that
 /// is not heard has not fallen silent: taken for idle, its models would make room for others.
-const ASKED_MS: u64 = 10_000;
+const DEMAND_STALE_MS: u64 = 10_000;
 
 /// A daemon that has not told its load for so long does not count as alive.
-const GONE_MS: u64 = 3_000;
+const DEAD_AFTER_MS: u64 = 3_000;
 
 /// A daemon that was asked to be a hub by another acts as one for so long.
-const ACTS_MS: u64 = 1_500;
+const ACTING_HUB_MS: u64 = 1_500;
 
 /// Besides the one that it follows a daemon asks so many others for a copy: with the first hub
 /// half of them may be gone, and each that does not answer takes a part of the bounds.
-const MOST_SOURCES: usize = 2;
+const MAX_SOURCES: usize = 2;
 
 #[derive(Debug, Clone)]
 pub(crate) struct Received {
@@ -50,7 +50,7 @@
         Ack {
             incarnation: self.incarnation,
             sent: self.note.sent,
-            held: now.since(self.at).min(u64::from(u32::MAX)) as u32,
+            age: now.since(self.at).min(u64::from(u32::MAX)) as u32,
         }
     }
 }
@@ -60,11 +60,11 @@
 pub(crate) struct Membership {
     pub(crate) me: Sender,
     pub(crate) peers: Peers,
-    seats: HubElection,
+    election: HubElection,
     /// What the daemons of this data centre told, where this one is their hub.
-    pub(crate) notes: BTreeMap<Instance, Received>,
+    pub(crate) reports: BTreeMap<Instance, Received>,
     /// What the other hubs told.
-    pub(crate) sums: BTreeMap<DataCentre, (Instance, Received)>,
+    pub(crate) centre_loads: BTreeMap<DataCentre, (Instance, Received)>,
     /// The hubs that this daemon's hub named last.
     hubs: Vec<SocketAddr>,
     /// The other hubs that read the store themselves, and when they last said so.
@@ -72,21 +72,21 @@
     /// What this daemon's hub told.
     total: Option<Received>,
     /// What callers of all daemons ask for, as it was last told or summed up.
-    whole_asked: Option<(Millis, DemandReport)>,
+    latest_demand: Option<(Millis, DemandReport)>,
     /// Who plans, as the planner told the hubs last.
-    renewed: Option<(Millis, PlannerInfo)>,
+    renewal: Option<(Millis, PlannerInfo)>,
     /// Whether another daemon spoke as the hub of this data centre.
-    heard: bool,
+    contact: bool,
     /// When another daemon last took this one for the hub.
-    asked: Option<Millis>,
+    last_report: Option<Millis>,
     /// Whether this daemon was a hub when that was looked at last.
     was_hub: bool,
     /// What this daemon itself told last.
-    own: UpstreamLoads,
+    own_loads: UpstreamLoads,
     /// The most daemons that this data centre had of late, and when that was told.
-    pub(crate) near: (Millis, u32),
+    pub(crate) reported_size: (Millis, u32),
     /// The same as this daemon counted it.
-    pub(crate) counted: (Millis, u32),
+    pub(crate) counted_size: (Millis, u32),
 }
 
 /// Whom news of the planner concerns.
@@ -114,21 +114,21 @@
     pub(crate) fn new(me: Sender) -> Self {
         Self {
             peers: Peers::new(&me),
-            seats: HubElection::new(me.instance.clone()),
+            election: HubElection::new(me.instance.clone()),
             me,
-            notes: BTreeMap::new(),
-            sums: BTreeMap::new(),
+            reports: BTreeMap::new(),
+            centre_loads: BTreeMap::new(),
             hubs: Vec::new(),
             readers: BTreeMap::new(),
             total: None,
-            whole_asked: None,
-            renewed: None,
-            heard: false,
-            asked: None,
+            latest_demand: None,
+            renewal: None,
+            contact: false,
+            last_report: None,
             was_hub: false,
-            own: UpstreamLoads::new(),
-            near: (Millis(0), 0),
-            counted: (Millis(0), 0),
+            own_loads: UpstreamLoads::new(),
+            reported_size: (Millis(0), 0),
+            counted_size: (Millis(0), 0),
         }
     }
 
@@ -139,39 +139,41 @@
 
     /// Who is taken for the hub of a data centre now.
     fn hub(&mut self, centre: &DataCentre, now: Millis) -> Option<Instance> {
-        self.seats.hub(centre, &self.peers, now)
+        self.election.hub(centre, &self.peers, now)
     }
 
     /// Who is taken for the hub of this data centre now.
-    fn near_hub(&mut self, now: Millis) -> Option<Instance> {
-        self.seats.hub(&self.me.centre, &self.peers, now)
+    fn local_hub(&mut self, now: Millis) -> Option<Instance> {
+        self.election.hub(&self.me.centre, &self.peers, now)
     }
 
     /// Whether this daemon acts as the hub of its data centre.
     pub(crate) fn is_hub(&mut self, now: Millis) -> bool {
-        let asked = self.asked.is_some_and(|at| now.since(at) < ACTS_MS);
-        (asked && !self.seats.has_resigned()) || self.is_elected(now)
+        let asked = self
+            .last_report
+            .is_some_and(|at| now.since(at) < ACTING_HUB_MS);
+        (asked && !self.election.has_resigned()) || self.is_elected(now)
     }
 
     /// Stops being a hub, if this daemon is one; whom to tell.
     pub(crate) fn resign(&mut self, now: Millis) -> Vec<SocketAddr> {
-        let mut told = Vec::new();
+        let mut received = Vec::new();
         if self.is_hub(now) {
-            told = self.other_hubs(now);
-            told.extend(self.neighbours());
+            received = self.other_hubs(now);
+            received.extend(self.neighbours());
         }
-        self.seats.resign();
-        told
+        self.election.resign();
+        received
     }
 
     /// Takes in that a hub stops being one.
     pub(crate) fn on_resigned(&mut self, from: &Sender) {
-        self.seats.on_resigned(from);
+        self.election.on_resigned(from);
         self.readers.remove(&from.centre);
         // What its callers ask for they go on asking for.
-        if let Some((_, told)) = self.sums.get_mut(&from.centre) {
-            told.note = LoadReport {
-                demand: std::mem::take(&mut told.note.demand),
+        if let Some((_, received)) = self.centre_loads.get_mut(&from.centre) {
+            received.note = LoadReport {
+                demand: std::mem::take(&mut received.note.demand),
                 ..LoadReport::default()
             };
         }
@@ -180,12 +182,12 @@
 
     /// The address of the hub of this data centre, where it is another daemon.
     pub(crate) fn own_hub(&mut self, now: Millis) -> Option<SocketAddr> {
-        let hub = self.near_hub(now)?;
+        let hub = self.local_hub(now)?;
         self.peers.address(&hub)
     }
 
     /// The other hubs, each with its address.
-    fn named_hubs(&mut self, now: Millis) -> Vec<(Instance, SocketAddr)> {
+    fn other_hub_peers(&mut self, now: Millis) -> Vec<(Instance, SocketAddr)> {
         let others = self.peers.centres().filter(|c| **c != self.me.centre);
         let others: Vec<DataCentre> = others.cloned().collect();
         let hubs: Vec<Instance> = others.iter().filter_map(|c| self.hub(c, now)).collect();
@@ -197,7 +199,10 @@
 
     /// The addresses of the other hubs.
     fn other_hubs(&mut self, now: Millis) -> Vec<SocketAddr> {
-        self.named_hubs(now).into_iter().map(|(_, a)| a).collect()
+        self.other_hub_peers(now)
+            .into_iter()
+            .map(|(_, a)| a)
+            .collect()
     }
 
     /// The addresses of the other daemons of this data centre.
@@ -207,14 +212,14 @@
 
     /// Whether this daemon is the hub of its data centre, whoever else takes it for one.
     pub(crate) fn is_elected(&mut self, now: Millis) -> bool {
-        let hub = self.near_hub(now);
-        hub.is_none_or(|h| h == self.me.instance) && !self.seats.has_resigned()
+        let hub = self.local_hub(now);
+        hub.is_none_or(|h| h == self.me.instance) && !self.election.has_resigned()
     }
 
     /// The hubs that this daemon hears, itself included, where it is one.
-    pub(crate) fn heard_hubs(&self, now: Millis) -> Vec<SocketAddr> {
-        let fresh = |(_, told): &&(Instance, Received)| now.since(told.at) < SILENT_MS;
-        let others = self.sums.values().filter(fresh);
+    pub(crate) fn reachable_hubs(&self, now: Millis) -> Vec<SocketAddr> {
+        let fresh = |(_, received): &&(Instance, Received)| now.since(received.at) < SILENT_MS;
+        let others = self.centre_loads.values().filter(fresh);
         let others = others.filter_map(|(i, _)| self.peers.address(i));
         others.chain([self.me.address]).collect()
     }
@@ -222,7 +227,7 @@
     /// How many hubs choose upstreams for all.
     pub(crate) fn choosers(&mut self, now: Millis) -> usize {
         if self.is_elected(now) {
-            return self.heard_hubs(now).len();
+            return self.reachable_hubs(now).len();
         }
         self.hubs.len().max(1)
     }
@@ -235,8 +240,8 @@
         now: Millis,
     ) -> Chooser {
         let sits = self.is_elected(now);
-        let hubs = match (sits, self.known_total(now)) {
-            (true, _) => self.heard_hubs(now),
+        let hubs = match (sits, self.fresh_total(now)) {
+            (true, _) => self.reachable_hubs(now),
             (false, Some(_)) => self.hubs.clone(),
             (false, None) => Vec::new(),
         };
@@ -276,7 +281,7 @@
         if self.is_elected(now) {
             return self.reader(now) == Some(from);
         }
-        self.near_hub(now).as_ref() == Some(from)
+        self.local_hub(now).as_ref() == Some(from)
     }
 
     /// Which daemons may know the store for this one, the one that it follows first.
@@ -288,7 +293,7 @@
         };
         let mut sources = self.other_hubs(now);
         sources.retain(|s| Some(*s) != first);
-        sources.truncate(MOST_SOURCES);
+        sources.truncate(MAX_SOURCES);
         first.into_iter().chain(sources).collect()
     }
 
@@ -300,25 +305,25 @@
     }
 
     /// Takes in whom another daemon takes for hubs.
-    pub(crate) fn on_members(&mut self, note: &MemberList, now: Millis) {
+    pub(crate) fn on_member_list(&mut self, note: &MemberList, now: Millis) {
         for member in note.hubs.iter().chain(&note.next) {
             self.learn_member(member, now);
         }
         for hub in &note.hubs {
-            self.seats.on_told(hub, &self.peers, now);
+            self.election.on_reported(hub, &self.peers, now);
         }
     }
 
     /// The hubs, and in each data centre who would be the next.
-    pub(crate) fn members(&mut self, now: Millis) -> MemberList {
+    pub(crate) fn member_list(&mut self, now: Millis) -> MemberList {
         /// A hub may have died a moment ago; two at once rarely do.
-        const NEXT: usize = 2;
+        const SUCCESSORS: usize = 2;
         let centres: Vec<DataCentre> = self.peers.centres().cloned().collect();
         let mut note = MemberList::default();
         for centre in centres {
             let hub = self.hub(&centre, now);
             let ranked = self.peers.ranked(&centre);
-            let next = ranked.filter(|i| Some(*i) != hub.as_ref()).take(NEXT);
+            let next = ranked.filter(|i| Some(*i) != hub.as_ref()).take(SUCCESSORS);
             let next = next.filter_map(|i| self.sender_of(i));
             note.next.extend(next);
             note.hubs.extend(hub.and_then(|h| self.sender_of(&h)));
@@ -339,7 +344,7 @@
 
     /// Whom to name to a daemon that takes this one for its hub, though another is.
     pub(crate) fn correct_follower(&mut self, from: &Sender, now: Millis) -> Option<MemberList> {
-        let hub = self.near_hub(now).filter(|h| *h != self.me.instance)?;
+        let hub = self.local_hub(now).filter(|h| *h != self.me.instance)?;
         let near = from.centre == self.me.centre && hub != from.instance;
         let hub = self.sender_of(&hub).filter(|_| near)?;
         Some(MemberList {
@@ -357,41 +362,41 @@
 
     /// Whether a hub has told this daemon anything yet.
     pub(crate) fn has_hub_contact(&self) -> bool {
-        self.heard
+        self.contact
     }
 
     /// Takes in a note, a sum or a total.
-    pub(crate) fn on_note(&mut self, from: &Sender, note: LoadReport, now: Millis) {
-        self.asked = Some(now);
-        let told = Received {
+    pub(crate) fn on_load(&mut self, from: &Sender, note: LoadReport, now: Millis) {
+        self.last_report = Some(now);
+        let received = Received {
             at: now,
             incarnation: from.incarnation,
             note,
         };
-        self.notes.insert(from.instance.clone(), told);
+        self.reports.insert(from.instance.clone(), received);
     }
 
     /// Takes in the sum of another data centre.
-    pub(crate) fn on_sum(&mut self, from: &Sender, note: HubReport, now: Millis) {
-        self.seats.on_hub(from, &self.peers, now);
-        if note.position.is_some_and(|m| m.reads) {
+    pub(crate) fn on_centre_load(&mut self, from: &Sender, note: HubReport, now: Millis) {
+        self.election.on_hub_message(from, &self.peers, now);
+        if note.position.is_some_and(|m| m.reads_store) {
             let reader = (from.instance.clone(), now);
             self.readers.insert(from.centre.clone(), reader);
         } else {
             self.readers.remove(&from.centre);
         }
-        let told = Received {
+        let received = Received {
             at: now,
             incarnation: from.incarnation,
             note: note.load,
         };
-        let sum = (from.instance.clone(), told);
-        self.sums.insert(from.centre.clone(), sum);
+        let sum = (from.instance.clone(), received);
+        self.centre_loads.insert(from.centre.clone(), sum);
     }
 
     /// Where to pass on a sum that came to this daemon, which is no hub: its sender does not
     /// know the hub yet.
-    pub(crate) fn forward_target(&mut self, now: Millis) -> Option<SocketAddr> {
+    pub(crate) fn actual_hub(&mut self, now: Millis) -> Option<SocketAddr> {
         if self.is_hub(now) {
             return None;
         }
@@ -399,17 +404,17 @@
     }
 
     /// Takes in the total. Returns whether its sender is this daemon's hub.
-    pub(crate) fn on_total(&mut self, from: &Sender, note: &HubReport, now: Millis) -> bool {
-        self.seats.on_hub(from, &self.peers, now);
-        self.heard = true;
-        if self.near_hub(now).as_ref() != Some(&from.instance) {
+    pub(crate) fn on_total_load(&mut self, from: &Sender, note: &HubReport, now: Millis) -> bool {
+        self.election.on_hub_message(from, &self.peers, now);
+        self.contact = true;
+        if self.local_hub(now).as_ref() != Some(&from.instance) {
             return false;
         }
         self.hubs.clone_from(&note.hubs);
         if !note.load.demand.is_empty() {
-            self.whole_asked = Some((now, note.load.demand.clone()));
+            self.latest_demand = Some((now, note.load.demand.clone()));
         }
-        self.on_near_told(note.centre_size, now);
+        self.on_centre_size(note.centre_size, now);
         self.total = Some(Received {
             at: now,
             incarnation: from.incarnation,
@@ -419,34 +424,37 @@
     }
 
     fn fresh<'a>(
-        told: impl Iterator<Item = &'a Received>,
+        received: impl Iterator<Item = &'a Received>,
         now: Millis,
     ) -> impl Iterator<Item = &'a Received> {
-        told.filter(move |t| now.since(t.at) < STALE_MS)
+        received.filter(move |t| now.since(t.at) < REPORT_STALE_MS)
     }
 
     /// The load of this data centre, `own` included.
-    fn sum(&self, own: &LoadReport, now: Millis) -> LoadReport {
+    fn centre_load(&self, own: &LoadReport, now: Millis) -> LoadReport {
         let mut sum = own.clone();
-        Self::fresh(self.notes.values(), now).for_each(|t| merge(&mut sum, t, now));
-        let alive = self.notes.values().filter(|t| now.since(t.at) < GONE_MS);
+        Self::fresh(self.reports.values(), now).for_each(|t| merge(&mut sum, t, now));
+        let alive = self
+            .reports
+            .values()
+            .filter(|t| now.since(t.at) < DEAD_AFTER_MS);
         sum.daemons = 1 + alive.count() as u32;
         sum
     }
 
     /// The load of all, as far as this daemon knows; `own` included.
-    fn whole(&self, own: &LoadReport, now: Millis) -> LoadReport {
-        let mut sum = self.sum(own, now);
-        let renewed = self.renewed.map(|(at, p)| (now.since(at), p));
-        let renewed = renewed.filter(|(age, _)| *age < STALE_MS);
-        sum.planner = later(sum.planner, renewed.map(|(age, p)| p.aged(age)));
-        for (_, told) in self.sums.values() {
-            let age = now.since(told.at);
-            if age < STALE_MS {
-                sum.daemons += told.note.daemons;
-                merge(&mut sum, told, now);
-            } else if age < ASKED_MS {
-                sum.demand.add(&told.note.demand, age);
+    fn total_load(&self, own: &LoadReport, now: Millis) -> LoadReport {
+        let mut sum = self.centre_load(own, now);
+        let renewal = self.renewal.map(|(at, p)| (now.since(at), p));
+        let renewal = renewal.filter(|(age, _)| *age < REPORT_STALE_MS);
+        sum.planner = later_renewal(sum.planner, renewal.map(|(age, p)| p.aged(age)));
+        for (_, received) in self.centre_loads.values() {
+            let age = now.since(received.at);
+            if age < REPORT_STALE_MS {
+                sum.daemons += received.note.daemons;
+                merge(&mut sum, received, now);
+            } else if age < DEMAND_STALE_MS {
+                sum.demand.add(&received.note.demand, age);
             }
         }
         sum
@@ -454,27 +462,27 @@
 
     /// What to tell the others now. `own` is this daemon's load.
     pub(crate) fn tick(&mut self, own: &LoadReport, known: HubStatus, now: Millis) -> Outgoing {
-        self.remember_near(now);
+        self.record_centre_size(now);
         self.peers.prune(now);
-        self.notes.retain(|_, t| now.since(t.at) < GONE_MS);
-        self.own.clone_from(&own.upstreams);
-        let hub = self.near_hub(now);
+        self.reports.retain(|_, t| now.since(t.at) < DEAD_AFTER_MS);
+        self.own_loads.clone_from(&own.upstreams);
+        let hub = self.local_hub(now);
         let mut out = Outgoing::new();
         if let Some(hub) = hub.filter(|h| *h != self.me.instance) {
             let note = Message::Load(own.clone());
             out.extend(self.peers.address(&hub).map(|a| (a, note)));
         }
         if self.is_hub(now) {
-            self.tell_as_hub(own, known, now, &mut out);
+            self.send_as_hub(own, known, now, &mut out);
         }
         out
     }
 
-    fn tell_as_hub(&mut self, own: &LoadReport, known: HubStatus, now: Millis, out: &mut Outgoing) {
+    fn send_as_hub(&mut self, own: &LoadReport, known: HubStatus, now: Millis, out: &mut Outgoing) {
         let HubStatus { position, crashes } = known;
-        let sum = self.sum(own, now);
-        let hubs = self.named_hubs(now);
-        let centre_size = self.near_known(now);
+        let sum = self.centre_load(own, now);
+        let hubs = self.other_hub_peers(now);
+        let centre_size = self.known_centre_size(now);
         let sum = HubReport {
             load: sum,
             position,
@@ -484,20 +492,20 @@
             centre_size,
         };
         for (hub, address) in hubs {
-            let told = self.sums.values().find(|(i, _)| *i == hub);
-            let ack = told.map(|(_, t)| t.ack(now));
+            let received = self.centre_loads.values().find(|(i, _)| *i == hub);
+            let ack = received.map(|(_, t)| t.ack(now));
             let sum = HubReport { ack, ..sum.clone() };
             out.push((address, Message::CentreLoad(sum)));
         }
-        let whole = self.whole(own, now);
+        let whole = self.total_load(own, now);
         let planner = whole.planner.map(|p| p.address);
         // Only the planner needs to know what is asked for.
         let plain = LoadReport {
             demand: DemandReport::default(),
             ..whole.clone()
         };
-        let heard = self.heard_hubs(now);
-        for (instance, address) in self.peers.near(&self.me.centre) {
+        let reachable = self.reachable_hubs(now);
+        for (instance, address) in self.peers.in_centre(&self.me.centre) {
             let load = if planner == Some(address) {
                 whole.clone()
             } else {
@@ -506,14 +514,14 @@
             let note = HubReport {
                 load,
                 position,
-                hubs: heard.clone(),
+                hubs: reachable.clone(),
                 crashes,
-                ack: self.notes.get(instance).map(|t| t.ack(now)),
+                ack: self.reports.get(instance).map(|t| t.ack(now)),
                 centre_size,
             };
             out.push((address, Message::TotalLoad(note)));
         }
-        self.whole_asked = Some((now, whole.demand.clone()));
+        self.latest_demand = Some((now, whole.demand.clone()));
         self.total = Some(Received {
             at: now,
             incarnation: self.me.incarnation,
@@ -523,27 +531,31 @@
 
     /// Where to send news of the planner: to all of this data centre and the other hubs, or
     /// to the hub, which passes them on.
-    pub(crate) fn spread(&mut self, concerns: Audience, now: Millis) -> Vec<SocketAddr> {
+    pub(crate) fn broadcast_targets(&mut self, audience: Audience, now: Millis) -> Vec<SocketAddr> {
         if !self.is_hub(now) {
             return self.own_hub(now).into_iter().collect();
         }
         let mut all = self.other_hubs(now);
-        if concerns == Audience::All {
+        if audience == Audience::All {
             all.extend(self.neighbours());
         }
         all
     }
 
     /// Where to tell what each hub must know though one of them may die with it: to all hubs.
-    pub(crate) fn spread_to_hubs(&mut self, concerns: Audience, now: Millis) -> Vec<SocketAddr> {
+    pub(crate) fn hub_broadcast_targets(
+        &mut self,
+        audience: Audience,
+        now: Millis,
+    ) -> Vec<SocketAddr> {
         match self.is_hub(now) {
-            true => self.spread(concerns, now),
+            true => self.broadcast_targets(audience, now),
             false => self.known_hubs(now),
         }
     }
 
     /// Whom to ask for what hubs know, where this daemon has just become one.
-    pub(crate) fn ask_as_new_hub(&mut self, now: Millis) -> Vec<SocketAddr> {
+    pub(crate) fn new_hub_targets(&mut self, now: Millis) -> Vec<SocketAddr> {
         let hub = self.is_hub(now);
         let was = std::mem::replace(&mut self.was_hub, hub);
         match hub && !was {
@@ -553,17 +565,17 @@
     }
 
     /// Where to pass on news that came from `from`.
-    pub(crate) fn pass_on(
+    pub(crate) fn forward_targets(
         &mut self,
         from: &Sender,
-        concerns: Audience,
+        audience: Audience,
         now: Millis,
     ) -> Vec<SocketAddr> {
         if !self.is_hub(now) {
             return Vec::new();
         }
         let mut all = Vec::new();
-        if concerns == Audience::All {
+        if audience == Audience::All {
             all.extend(self.neighbours());
         }
         if from.centre == self.me.centre {
@@ -587,17 +599,17 @@
         all
     }
 
-    fn known_total(&self, now: Millis) -> Option<&LoadReport> {
+    fn fresh_total(&self, now: Millis) -> Option<&LoadReport> {
         let total = self.total.as_ref();
         total
-            .filter(|t| now.since(t.at) < STALE_MS)
+            .filter(|t| now.since(t.at) < REPORT_STALE_MS)
             .map(|t| &t.note)
     }
 
     /// How many daemons there are, as it was last told: one that hears nobody is not the only one.
     pub(crate) fn alive(&self) -> usize {
-        let told = self.total.as_ref();
-        told.map_or(1, |t| t.note.daemons.max(1) as usize)
+        let received = self.total.as_ref();
+        received.map_or(1, |t| t.note.daemons.max(1) as usize)
     }
 
     /// How many daemons are known, alive or not.
@@ -607,33 +619,37 @@
 
     /// Who plans, as far as is known.
     pub(crate) fn planner(&self, now: Millis) -> Option<PlannerInfo> {
-        self.known_total(now)?.planner
+        self.fresh_total(now)?.planner
     }
 
     /// Takes in that the planner has renewed its claim.
     pub(crate) fn on_renewed(&mut self, planner: PlannerInfo, now: Millis) {
         if self
-            .renewed
+            .renewal
             .is_none_or(|(_, known)| planner.end > known.end)
         {
-            self.renewed = Some((now, planner));
+            self.renewal = Some((now, planner));
         }
     }
 
     /// Takes in that the planner gives its claim up.
     pub(crate) fn on_released(&mut self) {
-        self.renewed = None;
+        self.renewal = None;
     }
 
     /// What is known of what all callers ask for, for the log.
-    pub(crate) fn knowledge(&mut self, now: Millis) -> String {
-        let hears = self.hears_enough(now);
-        let heard = Self::fresh(self.sums.values().map(|(_, told)| told), now).count();
-        let asked = self.whole_asked.as_ref();
+    pub(crate) fn log_detail(&mut self, now: Millis) -> String {
+        let receives = self.receives_enough(now);
+        let reachable = Self::fresh(
+            self.centre_loads.values().map(|(_, received)| received),
+            now,
+        )
+        .count();
+        let asked = self.latest_demand.as_ref();
         let (rates, unmet) = asked.map_or((0, 0), |(_, a)| (a.rates.len(), a.unmet.len()));
         let age = asked.map_or("none".to_owned(), |(at, _)| now.since(*at).to_string());
         format!(
-            "daemons={} known={} hubs_heard={heard} hears_enough={hears} rates={rates} unmet={unmet} age_ms={age}",
+            "daemons={} known={} hubs_heard={reachable} hears_enough={receives} rates={rates} unmet={unmet} age_ms={age}",
             self.alive(),
             self.known(),
         )
@@ -641,26 +657,33 @@
 
     /// Whether enough of the others is heard to plan for all: of its hub, or as a hub of half of the
     /// data centres.
-    pub(crate) fn hears_enough(&mut self, now: Millis) -> bool {
+    pub(crate) fn receives_enough(&mut self, now: Millis) -> bool {
         if !self.is_elected(now) {
-            return self.known_total(now).is_some();
+            return self.fresh_total(now).is_some();
         }
         let mine = &self.me.centre;
         let others: Vec<&DataCentre> = self.peers.centres().filter(|c| *c != mine).collect();
-        let fresh = |told: &Received| now.since(told.at) < STALE_MS;
-        let heard = |c: &&&DataCentre| self.sums.get(**c).is_some_and(|(_, told)| fresh(told));
-        let (known, heard) = (1 + others.len(), 1 + others.iter().filter(heard).count());
+        let fresh = |received: &Received| now.since(received.at) < REPORT_STALE_MS;
+        let reachable = |c: &&&DataCentre| {
+            self.centre_loads
+                .get(**c)
+                .is_some_and(|(_, received)| fresh(received))
+        };
+        let (known, reachable) = (
+            1 + others.len(),
+            1 + others.iter().filter(reachable).count(),
+        );
         let alone = known == 1 && self.peers.len() > 0;
-        2 * heard >= known && (!alone || self.notes.values().any(fresh))
+        2 * reachable >= known && (!alone || self.reports.values().any(fresh))
     }
 
     /// What the other daemons have at each upstream.
     pub(crate) fn other_loads(&self, now: Millis) -> UpstreamLoads {
-        let Some(total) = self.known_total(now) else {
+        let Some(total) = self.fresh_total(now) else {
             return UpstreamLoads::new();
         };
         let without = total.upstreams.iter().map(|(name, note)| {
-            let own = self.own.get(name).copied().unwrap_or_default();
+            let own = self.own_loads.get(name).copied().unwrap_or_default();
             (*name, note.without(own))
         });
         without.collect()
@@ -668,9 +691,9 @@
 
     /// What is asked for in all, as it was last known, and how long ago; none where that is too long.
     pub(crate) fn total_demand(&self, now: Millis) -> Option<(&DemandReport, Millis)> {
-        let (at, asked) = self.whole_asked.as_ref()?;
+        let (at, asked) = self.latest_demand.as_ref()?;
         let age = now.since(*at);
-        (age < ASKED_MS).then_some((asked, Millis(age)))
+        (age < DEMAND_STALE_MS).then_some((asked, Millis(age)))
     }
 
     /// This daemon's own address, as the others know it.
@@ -680,10 +703,10 @@
 }
 
 /// Adds a note to a sum.
-fn merge(sum: &mut LoadReport, told: &Received, now: Millis) {
-    let note = &told.note;
-    let age = now.since(told.at);
-    sum.planner = later(sum.planner, note.planner.map(|p| p.aged(age)));
+fn merge(sum: &mut LoadReport, received: &Received, now: Millis) {
+    let note = &received.note;
+    let age = now.since(received.at);
+    sum.planner = later_renewal(sum.planner, note.planner.map(|p| p.aged(age)));
     for (name, load) in &note.upstreams {
         sum.upstreams.entry(*name).or_default().add(*load);
     }
@@ -691,7 +714,7 @@
 }
 
 /// Of two planners the one that renewed later, which holds the claim.
-fn later(a: Option<PlannerInfo>, b: Option<PlannerInfo>) -> Option<PlannerInfo> {
+fn later_renewal(a: Option<PlannerInfo>, b: Option<PlannerInfo>) -> Option<PlannerInfo> {
     match (a, b) {
         (Some(a), Some(b)) => Some(if a.end >= b.end { a } else { b }),
         (a, b) => a.or(b),
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -258,7 +258,7 @@
     /// See [`LoadNote::sent`].
     pub(crate) sent: Millis,
     /// How long ago it came, in milliseconds.
-    pub(crate) held: u32,
+    pub(crate) age: u32,
 }
 
 /// How far a hub knows the store, and as of how long ago.
@@ -273,7 +273,7 @@
     pub(crate) changes: u64,
     pub(crate) changes_age: u32,
     /// Whether it reads the store itself.
-    pub(crate) reads: bool,
+    pub(crate) reads_store: bool,
 }
 
 /// What a hub tells the other hubs, or the daemons of its data centre.
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -16,25 +16,25 @@
 use std::time::Duration;
 
 /// How long an order or a report may take; both are small.
-const CALL_LIMIT: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The time that the other daemons have to learn that a model is about to be dropped, and
 /// that requests already waiting at the engine have to start: those that have not are
 /// refused until the model is gone.
-const RETIRE_LEAD: Duration = Duration::from_millis(120);
+const RETIRE_DELAY: Duration = Duration::from_millis(120);
 
 /// An adapter is there after some milliseconds, and what an engine reports is a hundred
 /// old; the first look comes after so long.
-const ADAPTER_LOOK: Millis = Millis(130);
+const ADAPTER_CHECK_DELAY: Millis = Millis(130);
 
 /// So many looks after the expected time, then the engine's own entry has to do.
-const LOOKS: usize = 6;
+const MAX_CHECKS: usize = 6;
 
 /// How often an order without an answer is repeated. Its condition makes that harmless.
-const REPEATS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// The pause between two looks at an engine that is carrying an order out.
-const LOOK_AGAIN: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 impl Gateway {
     /// Whether an order may leave now: it is this daemon's turn, and the engine has not started
@@ -49,16 +49,16 @@
 /// Gives an order. Returns whether the engine is carrying it out.
 pub(crate) async fn carry_out(
     gw: &Rc<Gateway>,
-    working: &PlannerState,
+    state: &PlannerState,
     service: &Service,
     order: &Order,
 ) -> bool {
     if announce_retiring(gw, order) {
-        tokio::time::sleep(RETIRE_LEAD).await;
+        tokio::time::sleep(RETIRE_DELAY).await;
     }
-    record_sent_order(gw, working, service, order);
+    record_sent_order(gw, state, service, order);
     let mut reply = OrderReply::Lost;
-    for _ in 0..REPEATS {
+    for _ in 0..MAX_ATTEMPTS {
         if !gw.may_order(order) {
             return false;
         }
@@ -67,15 +67,15 @@
             break;
         }
         emit(LogEvent::OrderDoubt, &format!("order=\"{order}\""));
-        match look(gw, &order.engine).await {
+        match query_engine(gw, &order.engine).await {
             Some(seq) if seq > order.expect => {
                 reply = OrderReply::Accepted;
                 break;
             }
-            _ => tokio::time::sleep(LOOK_AGAIN).await,
+            _ => tokio::time::sleep(CHECK_INTERVAL).await,
         }
     }
-    gw.metrics.count_order(reply_word(reply));
+    gw.metrics.count_order(reply_name(reply));
     let detail = format!("order=\"{order}\" fence={} reply={reply:?}", order.fence);
     emit(LogEvent::OrderSent, &detail);
     gw.with_fleet(&order.engine, |f| f.note_reply(order, reply, gw.now()));
@@ -84,8 +84,8 @@
         OrderReply::Done if order.drops_adapter() => {}
         // What an engine reports is some hundred milliseconds old.
         OrderReply::Done | OrderReply::Conflict => {
-            tokio::time::sleep(LOOK_AGAIN).await;
-            look(gw, &order.engine).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            query_engine(gw, &order.engine).await;
         }
         OrderReply::Fenced => gw.claim.borrow_mut().step_down(),
         OrderReply::Elsewhere => gw.note_replaced(&order.engine),
@@ -98,7 +98,7 @@
 pub(crate) fn announce_retiring(gw: &Gateway, order: &Order) -> bool {
     let drops = order.kind == OrderKind::Unload && order.adapter.is_none();
     if drops {
-        gw.spread(&PlannerUpdate::Retire {
+        gw.broadcast(&PlannerUpdate::Retire {
             engine: order.engine.clone(),
             incarnation: order.incarnation,
             model: order.model.clone(),
@@ -110,12 +110,12 @@
 /// Counts an order that leaves now.
 pub(crate) fn record_sent_order(
     gw: &Gateway,
-    working: &PlannerState,
+    state: &PlannerState,
     service: &Service,
     order: &Order,
 ) {
-    if is_far(gw, service, order) {
-        if let Some(window) = working.window.borrow_mut().as_mut() {
+    if is_store_load(gw, service, order) {
+        if let Some(window) = state.window.borrow_mut().as_mut() {
             window.note(gw.now());
         }
     }
@@ -124,15 +124,15 @@
 
 /// Tells the others what an engine was seen to hold.
 pub(crate) fn announce_held(gw: &Gateway, engine: &Upstream, held: Held) {
-    let changed = gw.told.borrow_mut().is_news(engine, &held);
-    gw.spread(&PlannerUpdate::Held {
+    let changed = gw.told.borrow_mut().update(engine, &held);
+    gw.broadcast(&PlannerUpdate::Held {
         engine: engine.clone(),
         held,
         changed,
     });
 }
 
-const fn reply_word(reply: OrderReply) -> &'static str {
+const fn reply_name(reply: OrderReply) -> &'static str {
     match reply {
         OrderReply::Accepted => "accepted",
         OrderReply::Done => "done",
@@ -145,7 +145,7 @@
 }
 
 /// Whether the order loads weights from the weight store.
-fn is_far(gw: &Gateway, service: &Service, order: &Order) -> bool {
+fn is_store_load(gw: &Gateway, service: &Service, order: &Order) -> bool {
     if order.kind == OrderKind::Unload || order.adapter.is_some() {
         return false;
     }
@@ -155,15 +155,15 @@
 }
 
 /// The time after which an order should have been carried out.
-fn expected_time(gw: &Gateway, service: &Service, order: &Order) -> Millis {
+fn expected_duration(gw: &Gateway, service: &Service, order: &Order) -> Millis {
     if order.adapter.is_some() {
-        return ADAPTER_LOOK;
+        return ADAPTER_CHECK_DELAY;
     }
     let table = gw.table();
     let rule = table.as_ref().and_then(|t| t.catalog(service));
     let rule = rule.and_then(|c| c.models.get(&order.model));
     let (Some(rule), OrderKind::Load) = (rule, order.kind) else {
-        return Millis(LOOK_AGAIN.as_millis() as u64);
+        return Millis(CHECK_INTERVAL.as_millis() as u64);
     };
     let fleets = gw.fleets.borrow();
     let engine = fleets.get(service).and_then(|f| f.get(&order.engine));
@@ -171,12 +171,12 @@
 }
 
 /// Looks at the engine until an order is carried out, and tells the others.
-pub(crate) async fn watch(gw: &Rc<Gateway>, service: &Service, order: &Order) {
-    let mut wait = Duration::from_millis(expected_time(gw, service, order).0);
-    for _ in 0..LOOKS {
+pub(crate) async fn await_completion(gw: &Rc<Gateway>, service: &Service, order: &Order) {
+    let mut wait = Duration::from_millis(expected_duration(gw, service, order).0);
+    for _ in 0..MAX_CHECKS {
         tokio::time::sleep(wait).await;
-        wait = LOOK_AGAIN;
-        look(gw, &order.engine).await;
+        wait = CHECK_INTERVAL;
+        query_engine(gw, &order.engine).await;
         let fleets = gw.fleets.borrow();
         let engine = fleets.get(service).and_then(|f| f.get(&order.engine));
         if engine.is_none_or(|e| !e.awaits(order)) {
@@ -187,7 +187,7 @@
 }
 
 async fn call(gw: &Gateway, upstream: &Upstream, call: Call) -> Option<(StatusCode, Bytes)> {
-    const MOST_BYTES: usize = 1 << 20;
+    const MAX_BODY_BYTES: usize = 1 << 20;
     let target = gw.target(upstream)?;
     let mut request = Request::new(Full::new(call.body));
     *request.method_mut() = call.method;
@@ -199,11 +199,11 @@
         let mut exchange = gw.pool.send(&target, request).await.ok()?;
         let status = exchange.status();
         let answer = gw.codec.answer(status, exchange.head().headers());
-        let body = exchange.collect(MOST_BYTES).await.ok()?;
+        let body = exchange.collect(MAX_BODY_BYTES).await.ok()?;
         exchange.finish(keep_of(&answer));
         Some((status, body))
     };
-    tokio::time::timeout(CALL_LIMIT, exchange).await.ok()?
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await.ok()?
 }
 
 async fn send_order(gw: &Gateway, order: &Order) -> OrderReply {
@@ -216,7 +216,7 @@
 
 /// Asks an engine what it holds, and tells the others. Returns how many orders it has
 /// accepted.
-pub(crate) async fn look(gw: &Gateway, engine: &Upstream) -> Option<u64> {
+pub(crate) async fn query_engine(gw: &Gateway, engine: &Upstream) -> Option<u64> {
     let (status, body) = call(gw, engine, gw.codec.report(engine)).await?;
     if status != StatusCode::OK {
         return None;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -29,23 +29,23 @@
     incarnation: u64,
     strength: u8,
     /// When it was learned of or heard of last.
-    known: Millis,
-    pub(crate) heard: Option<Millis>,
+    last_seen: Millis,
+    pub(crate) last_datagram: Option<Millis>,
 }
 
 impl Peer {
-    fn new(from: &Sender, now: Millis, heard: Option<Millis>) -> Self {
+    fn new(from: &Sender, now: Millis, last_datagram: Option<Millis>) -> Self {
         Self {
             centre: from.centre.clone(),
             address: from.address,
             incarnation: from.incarnation,
             strength: from.strength,
-            known: now,
-            heard,
+            last_seen: now,
+            last_datagram,
         }
     }
 
-    fn is(&self, from: &Sender) -> bool {
+    fn matches(&self, from: &Sender) -> bool {
         self.incarnation == from.incarnation
             && self.address == from.address
             && self.strength == from.strength
@@ -82,9 +82,9 @@
 
     /// Takes in that a daemon spoke; true where it starts a new life.
     pub(crate) fn on_datagram(&mut self, from: &Sender, now: Millis) -> bool {
-        if let Some(peer) = self.all.get_mut(&from.instance).filter(|p| p.is(from)) {
-            peer.known = now;
-            peer.heard = Some(now);
+        if let Some(peer) = self.all.get_mut(&from.instance).filter(|p| p.matches(from)) {
+            peer.last_seen = now;
+            peer.last_datagram = Some(now);
             return false;
         }
         let before = self.all.get(&from.instance).map(|p| p.incarnation);
@@ -110,8 +110,8 @@
 
     /// Forgets daemons that were not heard of for long.
     pub(crate) fn prune(&mut self, now: Millis) {
-        let old = |p: &Peer| now.since(p.known) >= FORGET_MS;
-        let gone = self.all.iter().filter(|(_, p)| old(p));
+        let expired = |p: &Peer| now.since(p.last_seen) >= FORGET_MS;
+        let gone = self.all.iter().filter(|(_, p)| expired(p));
         let gone: Vec<Instance> = gone.map(|(n, _)| n.clone()).collect();
         gone.iter().for_each(|n| self.remove(n));
     }
@@ -160,11 +160,11 @@
 
     /// The addresses of the daemons of a data centre, this one left out.
     pub(crate) fn addresses(&self, centre: &DataCentre) -> Vec<SocketAddr> {
-        self.near(centre).map(|(_, address)| address).collect()
+        self.in_centre(centre).map(|(_, address)| address).collect()
     }
 
     /// The daemons of a data centre with their addresses, this one left out.
-    pub(crate) fn near<'a>(
+    pub(crate) fn in_centre<'a>(
         &'a self,
         centre: &DataCentre,
     ) -> impl Iterator<Item = (&'a Instance, SocketAddr)> {
--- a/crates/gateway/src/planner.rs
+++ b/crates/gateway/src/planner.rs
@@ -1,7 +1,7 @@
 //! Plans for the engines when it is this daemon's turn.
 
 use crate::journal::emit;
-use crate::orders::{carry_out, look, watch};
+use crate::orders::{await_completion, carry_out, query_engine};
 use crate::planner_lease::{next_action, perform, release, should_release, Inherited};
 use crate::request::ADAPTER;
 use crate::state::{EngineStart, Gateway};
@@ -16,23 +16,23 @@
 use std::time::Duration;
 
 /// How often the claim is looked at.
-const TICK: Duration = Duration::from_millis(100);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The pause between two looks at an engine that somebody else gave an order to; each
 /// costs as much as a health check.
-const LOOK_PAUSE: Duration = Duration::from_millis(700);
+const QUERY_PAUSE: Duration = Duration::from_millis(700);
 
 /// An adapter that somebody waits for counts as asked for so long.
-const WANT_MS: u64 = 2_000;
+const WANTED_MS: u64 = 2_000;
 
 /// Where somebody waits for an adapter, plans follow each other at this pace.
-const WANT_PLAN_MS: u64 = 40;
+const WANTED_PLAN_MS: u64 = 40;
 
 /// How often a planner says what it plans by.
-const KNOWS_EVERY_MS: u64 = 2_000;
+const KNOWLEDGE_LOG_MS: u64 = 2_000;
 
 /// What an adapter that somebody waits for counts at least, in milliseconds a second.
-const WANT_RATE: f32 = 1.0;
+const WANTED_RATE: f32 = 1.0;
 
 /// Who is at work on which engine.
 #[derive(Default)]
@@ -43,20 +43,20 @@
     planners: RefCell<ServicePlanners>,
     tags: RefCell<BTreeMap<Service, TagIndex>>,
     /// The fencing token of the claim that orders were last given under.
-    led: Cell<Option<u64>>,
+    last_fence: Cell<Option<u64>>,
     /// Engines that a planner before ordered a moment ago, and until when they are left
     /// alone.
     resting: RefCell<BTreeMap<Upstream, Millis>>,
     /// When this daemon took over from a planner that had died.
-    succeeded: Cell<Option<Millis>>,
+    last_takeover: Cell<Option<Millis>>,
     /// Until when copies may be spread before the first traffic: begun, and given back.
-    lead: Cell<Option<(Millis, Millis)>>,
+    initial_spread: Cell<Option<(Millis, Millis)>>,
     /// Whether it was this daemon's turn when that was looked at last.
     leading: Cell<bool>,
     /// When this daemon planned last.
-    planned: Cell<Millis>,
+    last_plan: Cell<Millis>,
     /// When it last said what it plans by.
-    said: Cell<Millis>,
+    last_log: Cell<Millis>,
 }
 
 impl PlannerState {
@@ -75,14 +75,14 @@
     }
 
     /// Whether a planner that died was succeeded a moment ago.
-    fn succeeds(&self, now: Millis) -> bool {
-        let at = self.succeeded.get();
-        at.is_some_and(|at| now.since(at) < SUCCEEDS_MS)
+    fn recently_took_over(&self, now: Millis) -> bool {
+        let at = self.last_takeover.get();
+        at.is_some_and(|at| now.since(at) < TAKEOVER_MS)
     }
 
     /// What may be done before the first traffic.
     fn lead_time(&self, quiet: bool, now: Millis) -> LeadTime {
-        match self.lead.get() {
+        match self.initial_spread.get() {
             Some((begin, _)) if quiet && now < begin => LeadTime::Spread,
             Some((_, end)) if now < end => LeadTime::Restore,
             _ => LeadTime::Over,
@@ -91,7 +91,7 @@
 }
 
 /// What ended a planner may end its successor within so long.
-const SUCCEEDS_MS: u64 = 3_000;
+const TAKEOVER_MS: u64 = 3_000;
 
 /// Copies are spread by the first planner of all: loads begin within this time, so that
 /// those of 9 s end about when the traffic starts, 10 s after the instances.
@@ -102,29 +102,29 @@
 
 /// Runs for as long as the process lives.
 pub(crate) async fn run(gw: Rc<Gateway>) {
-    let working = Rc::new(PlannerState::default());
+    let state = Rc::new(PlannerState::default());
     loop {
         let woken = tokio::select! {
-            () = tokio::time::sleep(TICK) => false,
+            () = tokio::time::sleep(LEASE_CHECK_INTERVAL) => false,
             () = gw.plan_now.notified() => true,
         };
         if gw.stopping.get() {
-            release(&gw, &working, "stopping").await;
+            release(&gw, &state, "stopping").await;
             return;
         }
         if should_release(&gw) {
-            release(&gw, &working, "hears-too-few").await;
+            release(&gw, &state, "hears-too-few").await;
         }
         if let Some(action) = next_action(&gw) {
             let (gw, asked) = (Rc::clone(&gw), gw.now());
             actix_rt::spawn(async move { perform(&gw, action, asked).await });
         }
-        let Some(orders) = step(&gw, &working, woken) else {
+        let Some(orders) = step(&gw, &state, woken) else {
             continue;
         };
-        look_again(&gw, &working);
+        query_unconfirmed(&gw, &state);
         for (service, order) in orders {
-            give(&gw, &working, service, order);
+            execute(&gw, &state, service, order);
         }
     }
 }
@@ -132,53 +132,56 @@
 /// Plans where it is this daemon's turn: the orders to give now, none where nothing was planned.
 pub(crate) fn step(
     gw: &Gateway,
-    working: &PlannerState,
+    state: &PlannerState,
     woken: bool,
 ) -> Option<Vec<(Service, Order)>> {
     let now = gw.now();
     let fence = gw.claim.borrow().fence(now);
-    if fence.is_some() != working.leading.replace(fence.is_some()) {
+    if fence.is_some() != state.leading.replace(fence.is_some()) {
         let event = match fence {
             Some(_) => LogEvent::LeaseTaken,
             None => LogEvent::LeaseLost,
         };
         emit(event, &format!("fence={}", fence.unwrap_or(0)));
         if fence.is_some() {
-            begin_leading(gw, working, fence);
+            on_lease_acquired(gw, state, fence);
         }
     }
-    if fence.is_some() && now.since(working.said.get()) >= KNOWS_EVERY_MS {
-        working.said.set(now);
-        emit(LogEvent::PlannerKnows, &gw.mesh.borrow_mut().knowledge(now));
+    if fence.is_some() && now.since(state.last_log.get()) >= KNOWLEDGE_LOG_MS {
+        state.last_log.set(now);
+        emit(
+            LogEvent::PlannerKnows,
+            &gw.mesh.borrow_mut().log_detail(now),
+        );
     }
-    let since = now.since(working.planned.get());
+    let since = now.since(state.last_plan.get());
     let due = since >= gw.settings.policy.plan_every.0;
-    let wanted = (woken || !gw.wants.borrow().is_empty()) && since >= WANT_PLAN_MS;
+    let wanted = (woken || !gw.wants.borrow().is_empty()) && since >= WANTED_PLAN_MS;
     let fence = fence.filter(|_| due || wanted)?;
-    working.planned.set(now);
-    Some(plan(gw, working, fence, now))
+    state.last_plan.set(now);
+    Some(plan(gw, state, fence, now))
 }
 
 /// Gives an order, unless its engine is still at work on another.
-fn give(gw: &Rc<Gateway>, working: &Rc<PlannerState>, service: Service, order: Order) {
+fn execute(gw: &Rc<Gateway>, state: &Rc<PlannerState>, service: Service, order: Order) {
     let start = gw.start_of(&order.engine);
-    if !working.begin(&start) {
+    if !state.begin(&start) {
         return;
     }
-    let (gw, working) = (Rc::clone(gw), Rc::clone(working));
+    let (gw, state) = (Rc::clone(gw), Rc::clone(state));
     actix_rt::spawn(async move {
-        let accepted = carry_out(&gw, &working, &service, &order).await;
+        let accepted = carry_out(&gw, &state, &service, &order).await;
         // An adapter on its way does not keep the engine from the next order.
         let more = accepted && order.adapter.is_some();
         if more {
-            working.end(&start);
+            state.end(&start);
             gw.plan_now.notify_one();
         }
         if accepted {
-            watch(&gw, &service, &order).await;
+            await_completion(&gw, &service, &order).await;
         }
         if !more {
-            working.end(&start);
+            state.end(&start);
         }
         gw.plan_now.notify_one();
     });
@@ -187,8 +190,8 @@
 /// Begins where the planner before ended. One that stopped has said what it ordered last.
 /// One that fell silent may have used up the window until its claim lapsed, which is as long
 /// ago as an engine rests. The first of all has none before it.
-fn begin_leading(gw: &Gateway, working: &PlannerState, fence: Option<u64>) {
-    if fence == working.led.replace(fence) {
+fn on_lease_acquired(gw: &Gateway, state: &PlannerState, fence: Option<u64>) {
+    if fence == state.last_fence.replace(fence) {
         // The claim had lapsed for a moment, and nobody else held it meanwhile.
         return;
     }
@@ -199,7 +202,7 @@
     if fence == Some(FIRST_FENCE) {
         let until = |ms| now.plus(ms);
         let lead = (until(SPREAD_BEGIN_MS), until(SPREAD_END_MS));
-        working.lead.set(Some(lead));
+        state.initial_spread.set(Some(lead));
     } else if let Some(inherited) = inherited(gw, fence) {
         window = window.resume(&inherited.last, inherited.read);
         let mut ordered = gw.ordered.borrow_mut();
@@ -211,13 +214,13 @@
             inherited.last.loads.len()
         );
         emit(LogEvent::LeaseInherited, &detail);
-        *working.resting.borrow_mut() = resting;
+        *state.resting.borrow_mut() = resting;
     } else {
-        working.succeeded.set(Some(now));
+        state.last_takeover.set(Some(now));
         let lapsed = gw.claim.borrow().rest();
         window.block(now.plus(window.span().0.saturating_sub(lapsed.0)));
     }
-    *working.window.borrow_mut() = Some(window);
+    *state.window.borrow_mut() = Some(window);
 }
 
 /// What the planner before left behind, where this claim came right after its release.
@@ -232,23 +235,23 @@
 
 /// What all callers ask for of the models of a service, and what they asked for in vain; this
 /// daemon's own where nothing else is known.
-fn asked(gw: &Gateway, tags: &TagIndex, now: Millis) -> (Rates, UnmetByKey) {
+fn demand(gw: &Gateway, tags: &TagIndex, now: Millis) -> (Rates, UnmetByKey) {
     let mesh = gw.mesh.borrow();
-    let told = mesh.total_demand(now);
-    let rates = told.map(|(asked, _)| tags.named(&asked.rates));
+    let known = mesh.total_demand(now);
+    let rates = known.map(|(asked, _)| tags.resolve(&asked.rates));
     let mut rates = rates.unwrap_or_else(|| gw.demand.borrow_mut().rates(now));
-    let unmet = told.map(|(asked, age)| {
+    let unmet = known.map(|(asked, age)| {
         let age = u32::try_from(age.0).unwrap_or(u32::MAX);
-        let named = tags.named(&asked.unmet).into_iter();
+        let named = tags.resolve(&asked.unmet).into_iter();
         named.map(|(key, u)| (key, u.aged(age))).collect()
     });
     let mut unmet: UnmetByKey = unmet.unwrap_or_default();
     let mut wants = gw.wants.borrow_mut();
-    wants.retain(|_, at| now.since(*at) < WANT_MS);
+    wants.retain(|_, at| now.since(*at) < WANTED_MS);
     for ((model, adapter), at) in wants.iter() {
         let key = (model.clone(), Some(adapter.clone()));
         let rate = rates.entry(key.clone()).or_default();
-        rate.work = rate.work.max(WANT_RATE);
+        rate.work = rate.work.max(WANTED_RATE);
         let age = now.since(*at) as u32;
         // Whoever waits for it is told to come back, or waits on, for so long.
         let back = (ADAPTER.0 as u32).saturating_sub(age);
@@ -265,15 +268,15 @@
     (rates, unmet)
 }
 
-fn plan(gw: &Gateway, working: &PlannerState, fence: u64, now: Millis) -> Vec<(Service, Order)> {
+fn plan(gw: &Gateway, state: &PlannerState, fence: u64, now: Millis) -> Vec<(Service, Order)> {
     let mut orders = Vec::new();
     let Some(table) = gw.table() else {
         return orders;
     };
-    let mut planners = working.planners.borrow_mut();
+    let mut planners = state.planners.borrow_mut();
     let mut notes = Vec::new();
-    working.resting.borrow_mut().retain(|_, until| *until > now);
-    let resting = working.resting.borrow();
+    state.resting.borrow_mut().retain(|_, until| *until > now);
+    let resting = state.resting.borrow();
     for service in table.services.keys() {
         let Some(catalog) = table.catalog(service) else {
             continue;
@@ -282,12 +285,12 @@
         let Some(fleet) = fleets.get_mut(service) else {
             continue;
         };
-        let mut tags = working.tags.borrow_mut();
+        let mut tags = state.tags.borrow_mut();
         let tags = tags.entry(service.clone()).or_default();
         tags.update(table.version, catalog);
-        let (rates, unmet) = asked(gw, tags, now);
+        let (rates, unmet) = demand(gw, tags, now);
         fleet.prune(now);
-        let mut window = working.window.borrow_mut();
+        let mut window = state.window.borrow_mut();
         let Some(window) = window.as_mut() else {
             continue;
         };
@@ -298,22 +301,22 @@
             unmet: &unmet,
             fence,
             holder: gw.me.instance.as_str(),
-            lead: working.lead_time(rates.is_empty(), now),
+            lead: state.lead_time(rates.is_empty(), now),
             resting: &resting,
-            succeeds: working.succeeds(now),
+            succeeds: state.recently_took_over(now),
         };
-        let (planned, why) = planners.plan(service, &view, window, now);
+        let (planned, reasons) = planners.plan(service, &view, window, now);
         orders.extend(planned.into_iter().map(|o| (service.clone(), o)));
-        notes.extend(why);
+        notes.extend(reasons);
     }
     // What is planned for an engine that is still at work is planned again until it is ordered.
-    notes.retain(|n| n.engine().is_none_or(|e| !working.is_busy(&gw.start_of(e))));
-    tell(gw, &notes);
+    notes.retain(|n| n.engine().is_none_or(|e| !state.is_busy(&gw.start_of(e))));
+    log_notes(gw, &notes);
     orders
 }
 
 /// Logs what a plan decided, and counts how long models were away.
-fn tell(gw: &Gateway, notes: &[PlanNote]) {
+fn log_notes(gw: &Gateway, notes: &[PlanNote]) {
     for note in notes {
         let event = match note {
             PlanNote::Move { .. } => LogEvent::MovePlanned,
@@ -336,15 +339,15 @@
 }
 
 /// Asks engines what they hold, where that is not known for certain.
-fn look_again(gw: &Rc<Gateway>, working: &Rc<PlannerState>) {
+fn query_unconfirmed(gw: &Rc<Gateway>, state: &Rc<PlannerState>) {
     for name in unconfirmed(gw) {
         let start = gw.start_of(&name);
-        if working.begin(&start) {
-            let (gw, working) = (Rc::clone(gw), Rc::clone(working));
+        if state.begin(&start) {
+            let (gw, state) = (Rc::clone(gw), Rc::clone(state));
             actix_rt::spawn(async move {
-                look(&gw, &name).await;
-                tokio::time::sleep(LOOK_PAUSE).await;
-                working.end(&start);
+                query_engine(&gw, &name).await;
+                tokio::time::sleep(QUERY_PAUSE).await;
+                state.end(&start);
             });
         }
     }
--- a/crates/gateway/src/planner_lease.rs
+++ b/crates/gateway/src/planner_lease.rs
@@ -1,6 +1,6 @@
 //! Takes part in the planner's claim, which is kept in the store.
 
-use crate::gossip::planner_note;
+use crate::gossip::planner_info;
 use crate::journal::emit;
 use crate::message::PlannerUpdate;
 use crate::planner::PlannerState;
@@ -27,7 +27,7 @@
 pub(crate) fn next_action(gw: &Gateway) -> Option<ClaimAction> {
     let now = gw.now();
     // Hubs know what is asked for, as far as they hear the others.
-    let hub = gw.mesh.borrow_mut().is_hub(now) && gw.hearing.borrow().may_claim(now);
+    let hub = gw.mesh.borrow_mut().is_hub(now) && gw.hearing.borrow().may_acquire(now);
     let candidate = hub || gw.claim.borrow().is_holder();
     if !gw.settings.policy.plans || !candidate || !gw.settled.get() {
         return None;
@@ -36,10 +36,10 @@
 }
 
 /// Takes a step that was decided at `asked`.
-pub(crate) async fn perform(gw: &Gateway, action: ClaimAction, asked: Millis) {
+pub(crate) async fn perform(gw: &Gateway, action: ClaimAction, requested: Millis) {
     match action {
         ClaimAction::Read => read(gw).await,
-        ClaimAction::Append { end, .. } => append(gw, end, asked).await,
+        ClaimAction::Append { end, .. } => append(gw, end, requested).await,
     }
 }
 
@@ -117,39 +117,39 @@
         Err(_) => claim.on_failed(),
     }
     drop(claim);
-    let planner = planner_note(gw, gw.now()).filter(|_| result.is_ok());
+    let planner = planner_info(gw, gw.now()).filter(|_| result.is_ok());
     if let Some(planner) = planner {
-        gw.spread(&PlannerUpdate::Renewed(planner));
+        gw.broadcast(&PlannerUpdate::Renewed(planner));
     }
 }
 
 /// What a successor has to know of this planner.
-fn handover(gw: &Gateway, working: &PlannerState) -> Handover {
-    let window = working.window.borrow();
+fn handover(gw: &Gateway, state: &PlannerState) -> Handover {
+    let window = state.window.borrow();
     gw.ordered.borrow().to_handover(window.as_ref(), gw.now())
 }
 
 /// Whether this daemon gives the claim up, as it hears too few of the others.
 pub(crate) fn should_release(gw: &Gateway) -> bool {
     let now = gw.now();
-    let hears = gw.mesh.borrow_mut().hears_enough(now);
-    let holds = gw.claim.borrow().is_holder();
-    let mut hearing = gw.hearing.borrow_mut();
-    hearing.observe(hears, holds, now);
-    holds && hearing.gives_up(now)
+    let receives = gw.mesh.borrow_mut().receives_enough(now);
+    let is_holder = gw.claim.borrow().is_holder();
+    let mut isolation = gw.hearing.borrow_mut();
+    isolation.observe(receives, is_holder, now);
+    is_holder && isolation.should_release(now)
 }
 
 /// Gives the claim up, so that a successor need not wait until it lapses.
-pub(crate) async fn release(gw: &Gateway, working: &PlannerState, reason: &str) {
+pub(crate) async fn release(gw: &Gateway, state: &PlannerState, reason: &str) {
     let held = gw.claim.borrow().is_holder();
     gw.claim.borrow_mut().step_down();
     if held {
-        let last = handover(gw, working);
+        let last = handover(gw, state);
         let value = record(gw, Some(last));
         // Without it the successor waits longer.
         let released = gw.store.append(Topic::Planner, KEY, &value, None).await;
         gw.metrics.count_store("planner", released.is_ok());
-        gw.spread(&PlannerUpdate::Released);
+        gw.broadcast(&PlannerUpdate::Released);
         emit(LogEvent::LeaseLost, &format!("reason={reason}"));
     }
 }
--- a/crates/gateway/src/read_progress.rs
+++ b/crates/gateway/src/read_progress.rs
@@ -20,25 +20,25 @@
 }
 
 /// What the platform's bounds must leave for asking for a copy and then the store.
-const ASK_MS: u64 = 750;
+const FALLBACK_MS: u64 = 750;
 
 /// How much older than two ticks a mark is by its way, with one of them lost in some hundred.
-const WAY_MS: u64 = 150;
+const DELIVERY_MS: u64 = 150;
 
 /// The bounds of the ages; the lower ones are what the pace of reads and ticks needs.
-const ENTRIES_MS: (u64, u64) = (1_250, 2_250);
+const ENTRIES_AGE_MS: (u64, u64) = (1_250, 2_250);
 
 /// A daemon whose last reads of both topics are no older than this reads the store itself: a
 /// read of the configuration waits up to 1.5 s.
-const READS_MS: u64 = 3_000;
+const READ_RECENT_MS: u64 = 3_000;
 
 impl Freshness {
     /// The ages that the bounds allow, where marks are told every `tick`.
     pub(crate) fn from_bounds(drain: Millis, config_wait: Millis, tick: Millis) -> Self {
-        let (least, most) = ENTRIES_MS;
+        let (least, most) = ENTRIES_AGE_MS;
         Self {
-            entries: Millis(drain.0.saturating_sub(ASK_MS).clamp(least, most)),
-            config: config_wait.plus(2 * tick.0 + WAY_MS),
+            entries: Millis(drain.0.saturating_sub(FALLBACK_MS).clamp(least, most)),
+            config: config_wait.plus(2 * tick.0 + DELIVERY_MS),
         }
     }
 }
@@ -52,7 +52,7 @@
     /// All messages up to this one are covered by a read of all entries.
     covered: Option<u64>,
     /// The last message that it says it has sent.
-    marked: u64,
+    last_sent: u64,
     config: u64,
     config_at: Millis,
     changes_at: Millis,
@@ -60,9 +60,9 @@
 
 impl Followed {
     /// Whether every message that it has sent is known or covered.
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         let (first, last) = self.run;
-        let covered = |c: u64| self.marked <= c || (first <= c + 1 && self.marked <= last);
+        let covered = |c: u64| self.last_sent <= c || (first <= c + 1 && self.last_sent <= last);
         self.covered.is_some_and(covered)
     }
 }
@@ -80,9 +80,9 @@
         self.failing = false;
     }
 
-    fn go_on(&self, now: Millis) -> bool {
-        let lately = self.last.is_some_and(|at| now.since(at) < READS_MS);
-        lately && !self.failing
+    fn is_current(&self, now: Millis) -> bool {
+        let recent = self.last.is_some_and(|at| now.since(at) < READ_RECENT_MS);
+        recent && !self.failing
     }
 }
 
@@ -92,7 +92,7 @@
     number: u64,
     config: Option<(u64, Millis)>,
     /// When there was certainly no newer configuration than the one that is known.
-    certain: Option<Millis>,
+    confirmed: Option<Millis>,
     changes: Option<Millis>,
     followed: Followed,
     config_reads: Reads,
@@ -112,13 +112,13 @@
     pub(crate) fn on_confirmed(&mut self, next: u64, at: Millis) {
         // Of a newer one that is not known yet nothing is said by this.
         if self.config.is_some_and(|(known, _)| next <= known) {
-            self.certain = self.certain.max(Some(at));
+            self.confirmed = self.confirmed.max(Some(at));
         }
     }
 
     /// As of when the configuration that this daemon has read was certainly the newest.
     pub(crate) fn confirmed_at(&self) -> Option<Millis> {
-        self.certain
+        self.confirmed
     }
 
     /// Notes that a read of the configuration failed.
@@ -132,8 +132,8 @@
     }
 
     /// Whether this daemon reads the store itself, and is served.
-    fn reads(&self, now: Millis) -> bool {
-        self.config_reads.go_on(now) && self.entries_reads.go_on(now)
+    fn reads_store(&self, now: Millis) -> bool {
+        self.config_reads.is_current(now) && self.entries_reads.is_current(now)
     }
 
     /// As of when the configuration that this daemon has read is known to be the newest, by its
@@ -147,9 +147,9 @@
     pub(crate) fn on_entries(&mut self, position: (u64, u64), at: Millis) {
         self.changes = self.changes.max(Some(at));
         self.entries_reads.on_read(at);
-        let (incarnation, marked) = position;
+        let (incarnation, last_sent) = position;
         if self.followed.incarnation == incarnation {
-            self.followed.covered = Some(marked);
+            self.followed.covered = Some(last_sent);
         }
     }
 
@@ -161,7 +161,10 @@
 
     /// As of when the entries are known, by reads of this daemon or by the one that it follows.
     pub(crate) fn entries_known_at(&self) -> Option<Millis> {
-        let followed = self.followed.is_whole().then_some(self.followed.changes_at);
+        let followed = self
+            .followed
+            .is_complete()
+            .then_some(self.followed.changes_at);
         self.changes.max(followed)
     }
 
@@ -181,7 +184,7 @@
             confirmed_age: self.confirmed_at().map(age),
             changes: self.number,
             changes_age: age(changes_at),
-            reads: self.reads(now),
+            reads_store: self.reads_store(now),
         })
     }
 
@@ -204,7 +207,7 @@
             };
         }
         followed.covered = Some(number);
-        followed.marked = followed.marked.max(number);
+        followed.last_sent = followed.last_sent.max(number);
         followed.changes_at = followed.changes_at.max(at);
     }
 
@@ -228,7 +231,7 @@
             };
         }
         // The message of changes itself may still be on its way.
-        followed.marked = read_position.changes;
+        followed.last_sent = read_position.changes;
         let before = |age: u32| Millis(at.0.saturating_sub(u64::from(age)));
         followed.config = read_position.config;
         followed.config_at = before(read_position.config_age);
@@ -264,13 +267,13 @@
     }
 
     /// Where the messages of the one followed are, to be compared after a read.
-    pub(crate) fn position(&self) -> (u64, u64) {
-        (self.followed.incarnation, self.followed.marked)
+    pub(crate) fn followed_position(&self) -> (u64, u64) {
+        (self.followed.incarnation, self.followed.last_sent)
     }
 
     /// Whether the entries are known as of a moment ago without reading.
     pub(crate) fn follows_entries(&self, fresh: Freshness, now: Millis) -> bool {
-        self.followed.is_whole() && now.since(self.followed.changes_at) < fresh.entries.0
+        self.followed.is_complete() && now.since(self.followed.changes_at) < fresh.entries.0
     }
 
     /// How far the one followed knows the configuration, where it knew a moment ago.
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -11,17 +11,17 @@
 use std::collections::BTreeMap;
 
 /// The platform has entries of living upstreams back so long after the store is well again.
-const BACK_MS: u64 = 2_000;
+const STORE_RECOVERY_MS: u64 = 2_000;
 
 /// The longest that a removal waits for its entry to come back. A leaving upstream must get
 /// no new work after the drain bound of 2 s, which starts with the removal; reading it takes
 /// up to 900 ms.
-const HOLD_MS: u64 = 1_000;
+const MAX_HOLD_MS: u64 = 1_000;
 
 /// Another daemon that the store served so short a time ago shows that entries did not lapse
 /// with the store: an upstream's entry does so after three of its intervals of about a
 /// second, and with a hold on top the drain bound was passed by 63 ms.
-const SERVED_MS: u64 = 1_500;
+const PEER_SERVED_MS: u64 = 1_500;
 
 /// How long it is remembered that an upstream is gone, so that an old entry of it that is
 /// read or told late is passed over, and one of an earlier start as well.
@@ -66,7 +66,7 @@
     /// Once told to be leaving, it is leaving, whatever a later read says.
     leaving: bool,
     /// When its removal takes effect.
-    until: Option<Millis>,
+    removal_due: Option<Millis>,
 }
 
 impl Listed {
@@ -91,27 +91,27 @@
 pub(crate) struct Roster {
     listed: BTreeMap<Upstream, Listed>,
     gone: BTreeMap<Upstream, Gone>,
-    disturbed: Option<Millis>,
+    unstable_at: Option<Millis>,
     /// When the store last served another daemon, as far as is known.
-    served: Option<Millis>,
+    peer_served: Option<Millis>,
 }
 
 impl Roster {
     /// Notes that the store did not answer as it should, or does so again.
     pub(crate) fn on_store_unstable(&mut self, now: Millis) {
-        self.disturbed = Some(now);
+        self.unstable_at = Some(now);
     }
 
     /// Takes in an upstream's record.
-    pub(crate) fn on_record(&mut self, seen: EntryRecord, now: Millis) -> Option<Change> {
-        let gone = self.gone.get(&seen.name).map(|g| g.offset);
-        let known = self.listed.get(&seen.name).map(Listed::newest);
-        if gone.max(known).is_some_and(|o| seen.offset < o) {
+    pub(crate) fn on_record(&mut self, record: EntryRecord, now: Millis) -> Option<Change> {
+        let gone = self.gone.get(&record.name).map(|g| g.offset);
+        let known = self.listed.get(&record.name).map(Listed::newest);
+        if gone.max(known).is_some_and(|o| record.offset < o) {
             return None;
         }
-        match seen.entry {
-            Some(entry) => self.on_entry(seen.name, seen.offset, entry),
-            None => self.on_removed(&seen.name, seen.offset, now),
+        match record.entry {
+            Some(entry) => self.on_entry(record.name, record.offset, entry),
+            None => self.on_removed(&record.name, record.offset, now),
         }
     }
 
@@ -129,7 +129,7 @@
         if let Some(known) = known.filter(|l| l.entry == entry) {
             known.offset = offset;
             known.removed = None;
-            known.until = None;
+            known.removal_due = None;
             return None;
         }
         let next = Listed {
@@ -137,7 +137,7 @@
             offset,
             removed: None,
             leaving,
-            until: None,
+            removal_due: None,
         };
         self.listed.insert(name.clone(), next);
         Some(match restarted {
@@ -158,8 +158,8 @@
         let hold = self.hold(now);
         let listed = self.listed.get_mut(name)?;
         listed.removed = Some(offset);
-        if let (Some(until), false) = (hold, listed.leaving) {
-            listed.until.get_or_insert(until);
+        if let (Some(removal_due), false) = (hold, listed.leaving) {
+            listed.removal_due.get_or_insert(removal_due);
             return None;
         }
         Some(self.forget(name, now))
@@ -179,22 +179,26 @@
 
     /// Whether the store did not answer as it should a moment ago.
     pub(crate) fn is_store_unstable(&self, now: Millis) -> bool {
-        self.disturbed.is_some_and(|d| d.plus(BACK_MS) > now)
+        self.unstable_at
+            .is_some_and(|d| d.plus(STORE_RECOVERY_MS) > now)
     }
 
     /// Notes that the store served another daemon as it should at that time: what this one
     /// missed since, the store refused it alone, and no entry lapsed for that.
     pub(crate) fn on_peer_served(&mut self, at: Millis) {
-        self.served = self.served.max(Some(at));
+        self.peer_served = self.peer_served.max(Some(at));
     }
 
     /// Until when removals that are read now wait for their entries to come back.
     fn hold(&self, now: Millis) -> Option<Millis> {
-        if self.served.is_some_and(|s| now.since(s) < SERVED_MS) {
+        if self
+            .peer_served
+            .is_some_and(|s| now.since(s) < PEER_SERVED_MS)
+        {
             return None;
         }
-        let back = self.disturbed?.plus(BACK_MS);
-        (back > now).then(|| back.min(now.plus(HOLD_MS)))
+        let back = self.unstable_at?.plus(STORE_RECOVERY_MS);
+        (back > now).then(|| back.min(now.plus(MAX_HOLD_MS)))
     }
 
     /// Takes in all records there are, read up to the offset `end`; what is not among them
@@ -212,15 +216,16 @@
             offset: end,
             entry: None,
         });
-        let seen: Vec<EntryRecord> = removed.chain(all).collect();
-        seen.into_iter()
-            .filter_map(|s| self.on_record(s, now))
+        let records: Vec<EntryRecord> = removed.chain(all).collect();
+        records
+            .into_iter()
+            .filter_map(|r| self.on_record(r, now))
             .collect()
     }
 
     /// Lets removals take effect whose time has come.
     pub(crate) fn tick(&mut self, now: Millis) -> Vec<Change> {
-        let due = |l: &Listed| l.until.is_some_and(|u| u <= now);
+        let due = |l: &Listed| l.removal_due.is_some_and(|u| u <= now);
         let names = self.listed.iter().filter(|(_, l)| due(l));
         let names: Vec<Upstream> = names.map(|(n, _)| n.clone()).collect();
         self.gone.retain(|_, g| now.since(g.at) < REMEMBER_MS);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -412,7 +412,7 @@
     pub(crate) fn route(&self, event: RouteEvent) {
         let actions = self.router.borrow_mut().step(event, self.now());
         actions.iter().for_each(|a| self.hand(a));
-        self.tell_crashes();
+        self.publish_crashes();
     }
 
     /// Tells a request of this daemon what to do; false where there is none of that number.
--- a/crates/gateway/src/store_health.rs
+++ b/crates/gateway/src/store_health.rs
@@ -10,19 +10,19 @@
 /// The pause after a failed call: at least so long, at most twice as long, so that daemons
 /// that lost the store together do not come back together. It doubles with each further
 /// failure.
-const PAUSE_MS: u64 = 150;
+const BACKOFF_MS: u64 = 150;
 
 /// So many doublings at the most: 1.2 to 2.4 s, within the time that the platform gives
 /// its store to be well again.
-const DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// How often a daemon in a pause looks whether it may end it.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Notes how a call to the store went, and logs when the store is lost or back.
 pub(crate) struct StoreHealth {
     topic: &'static str,
-    failing: Option<Millis>,
+    failing_since: Option<Millis>,
     /// Failed calls in a row.
     failures: u32,
 }
@@ -31,12 +31,12 @@
     pub(crate) const fn new(topic: &'static str) -> Self {
         Self {
             topic,
-            failing: None,
+            failing_since: None,
             failures: 0,
         }
     }
 
-    pub(crate) fn note<T>(&mut self, gw: &Gateway, result: &StoreResult<T>) {
+    pub(crate) fn record<T>(&mut self, gw: &Gateway, result: &StoreResult<T>) {
         let now = gw.now();
         gw.metrics.count_store(self.topic, result.is_ok());
         match result {
@@ -44,15 +44,15 @@
             Err(e) => {
                 gw.roster.borrow_mut().on_store_unstable(now);
                 self.failures = self.failures.saturating_add(1);
-                if self.failing.is_none() {
-                    self.failing = Some(now);
+                if self.failing_since.is_none() {
+                    self.failing_since = Some(now);
                     let detail = format!("topic={} error={e:?}", self.topic);
                     emit(LogEvent::LogLost, &detail);
                 }
             }
             Ok(_) => {
                 self.failures = 0;
-                if let Some(since) = self.failing.take() {
+                if let Some(since) = self.failing_since.take() {
                     gw.roster.borrow_mut().on_store_unstable(now);
                     let away = now.since(since);
                     emit(
@@ -66,13 +66,17 @@
 
     /// Waits after a failed call. `hub` daemons read for others and wait the least; the
     /// others wait the longer, the more calls failed, until `enough` holds.
-    pub(crate) async fn pause(&self, gw: &Gateway, hub: bool, enough: impl Fn() -> bool) {
-        let doublings = self.failures.saturating_sub(1).min(DOUBLINGS);
-        let least = if hub { PAUSE_MS } else { PAUSE_MS << doublings };
-        let wait = Duration::from_millis(least + gw.draw() % least);
+    pub(crate) async fn back_off(&self, gw: &Gateway, hub: bool, done: impl Fn() -> bool) {
+        let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        let min_wait = if hub {
+            BACKOFF_MS
+        } else {
+            BACKOFF_MS << doublings
+        };
+        let wait = Duration::from_millis(min_wait + gw.draw() % min_wait);
         let end = tokio::time::Instant::now() + wait;
-        while tokio::time::Instant::now() < end && !enough() {
-            tokio::time::sleep_until(end.min(tokio::time::Instant::now() + LOOK)).await;
+        while tokio::time::Instant::now() < end && !done() {
+            tokio::time::sleep_until(end.min(tokio::time::Instant::now() + CHECK_INTERVAL)).await;
         }
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -16,11 +16,11 @@
 use std::net::SocketAddr;
 
 /// A datagram holds so many notes; one is some seventy bytes.
-const NOTES: usize = 12;
+const NOTES_PER_DATAGRAM: usize = 12;
 
 /// A daemon evens out what it knows with another one so often at the most: news told meanwhile
 /// reach it anyway.
-const EVEN_EVERY_MS: u64 = 500;
+const SYNC_INTERVAL_MS: u64 = 500;
 
 impl Gateway {
     /// Refuses a request that may not be sent, or not by this daemon alone: one under which upstreams
@@ -41,7 +41,7 @@
 
     /// Notes that an upstream ended under a request of this daemon, and tells the hubs. Whoever
     /// chose the upstream is told how the send ended.
-    pub(crate) fn note_crash(&self, identity: Identity, sent: &Sent) {
+    pub(crate) fn record_crash(&self, identity: Identity, sent: &Sent) {
         let note = CrashNote {
             identity,
             ended: [sent.start].into(),
@@ -55,20 +55,20 @@
             );
             emit(LogEvent::RequestSuspected, &detail);
         }
-        self.take_crash_notes(None, vec![note]);
+        self.on_crash_notes(None, vec![note]);
     }
 
     /// Tells the others what the router of this daemon found out.
-    pub(crate) fn tell_crashes(&self) {
+    pub(crate) fn publish_crashes(&self) {
         let notes = self.router.borrow_mut().take_crash_notes();
         for note in &notes {
-            self.log_standing(&note.identity.request);
+            self.log_status(&note.identity.request);
         }
-        self.spread_crashes(None, &notes);
+        self.broadcast_crashes(None, &notes);
     }
 
     /// Takes in notes of another daemon, or of this one, and passes on what is news.
-    pub(crate) fn take_crash_notes(&self, from: Option<&Sender>, notes: Vec<CrashNote>) {
+    pub(crate) fn on_crash_notes(&self, from: Option<&Sender>, notes: Vec<CrashNote>) {
         let mut actions = Vec::new();
         let now = self.now();
         let news = self
@@ -77,12 +77,12 @@
             .merge_crashes(notes, now, &mut actions);
         actions.iter().for_each(|a| self.hand(a));
         for note in &news {
-            self.log_standing(&note.identity.request);
+            self.log_status(&note.identity.request);
         }
-        self.spread_crashes(from, &news);
+        self.broadcast_crashes(from, &news);
     }
 
-    fn log_standing(&self, request: &Fingerprint) {
+    fn log_status(&self, request: &Fingerprint) {
         let router = self.router.borrow();
         let (known, blocked) = router.crashes().counts();
         self.metrics.note_suspects(known, blocked);
@@ -94,22 +94,22 @@
         emit(event, &format!("request={request}"));
     }
 
-    fn spread_crashes(&self, from: Option<&Sender>, notes: &[CrashNote]) {
+    fn broadcast_crashes(&self, from: Option<&Sender>, notes: &[CrashNote]) {
         let (grave, slight): (Vec<&CrashNote>, Vec<&CrashNote>) =
             notes.iter().partition(|n| n.ended.len() > 1);
         self.send_notes(from, Audience::All, &grave);
         self.send_notes(from, Audience::Hubs, &slight);
     }
 
-    fn send_notes(&self, from: Option<&Sender>, concerns: Audience, notes: &[&CrashNote]) {
+    fn send_notes(&self, from: Option<&Sender>, audience: Audience, notes: &[&CrashNote]) {
         let now = self.now();
         if notes.is_empty() {
             return;
         }
         let mut mesh = self.mesh.borrow_mut();
         let targets = match from {
-            Some(from) => mesh.pass_on(from, concerns, now),
-            None => mesh.spread_to_hubs(concerns, now),
+            Some(from) => mesh.forward_targets(from, audience, now),
+            None => mesh.hub_broadcast_targets(audience, now),
         };
         drop(mesh);
         for target in targets {
@@ -121,23 +121,23 @@
         &self,
         to: SocketAddr,
         notes: impl Iterator<Item = &'a CrashNote>,
-        answer: bool,
+        request_reply: bool,
     ) {
         let notes: Vec<CrashNote> = notes.cloned().collect();
-        let messages = notes.chunks(NOTES).map(|n| {
+        let messages = notes.chunks(NOTES_PER_DATAGRAM).map(|n| {
             let notes = n.to_vec();
             (to, Message::Crashes { notes })
         });
-        let asks = answer.then_some((to, Message::CrashesRequest { all: false }));
-        self.send(messages.chain(asks).collect());
+        let request = request_reply.then_some((to, Message::CrashesRequest { all: false }));
+        self.send(messages.chain(request).collect());
     }
 
     /// Takes in how a hub knows such requests; evens out where this daemon knows otherwise.
-    pub(crate) fn compare_crashes(&self, from: &Sender, digest: u64) {
+    pub(crate) fn on_crashes_digest(&self, from: &Sender, digest: u64) {
         let now = self.now();
         let own = self.router.borrow().crashes().digest();
-        let lately = now.since(self.evened.get()) < EVEN_EVERY_MS;
-        if own == digest || lately {
+        let recent = now.since(self.evened.get()) < SYNC_INTERVAL_MS;
+        if own == digest || recent {
             return;
         }
         self.evened.set(now);
@@ -147,7 +147,7 @@
 
     /// Tells another daemon what concerns everyone, or all where it is a new hub: its data centre's
     /// last one knew of requests under which a single upstream ended, and may be gone.
-    pub(crate) fn answer_crashes(&self, from: &Sender, all: bool) {
+    pub(crate) fn on_crashes_request(&self, from: &Sender, all: bool) {
         let router = self.router.borrow();
         let now = self.now();
         let notes = match all {
--- a/crates/gateway/src/tag_index.rs
+++ b/crates/gateway/src/tag_index.rs
@@ -32,11 +32,11 @@
 
     /// What is told of models and adapters, by name. A tag that the catalog does not have is another
     /// service's.
-    pub(crate) fn named<T: Copy>(
+    pub(crate) fn resolve<T: Copy>(
         &self,
-        told: &BTreeMap<Tag, T>,
+        tagged: &BTreeMap<Tag, T>,
     ) -> BTreeMap<(Model, Option<Adapter>), T> {
-        let named = told.iter().filter_map(|(tag, value)| {
+        let named = tagged.iter().filter_map(|(tag, value)| {
             let name = self.names.get(tag)?;
             Some((name.clone(), *value))
         });
--- a/crates/gateway/tests/unit/admission.rs
+++ b/crates/gateway/tests/unit/admission.rs
@@ -160,16 +160,16 @@
                 else {
                     continue;
                 };
-                let held = hub_clock(now).since(came) as u32;
+                let age = hub_clock(now).since(came) as u32;
                 let echo = Ack {
                     incarnation: 1,
                     sent,
-                    held,
+                    age,
                 };
                 now = now.plus(u64::from(ms));
                 // It takes the configuration over as well.
                 follower.on_config(mark.0, now);
-                let at = echo.sent.plus(u64::from(echo.held));
+                let at = echo.sent.plus(u64::from(echo.age));
                 let at = Millis(at.0.saturating_sub(u64::from(mark.1)));
                 follower.on_confirmed(mark.0, at);
             }
--- a/crates/gateway/tests/unit/catalogue/world.rs
+++ b/crates/gateway/tests/unit/catalogue/world.rs
@@ -251,7 +251,7 @@
         }
         if self.is_strong(index) {
             let seen = self.seen();
-            self.daemons[index].gw.take_entries(seen, now);
+            self.daemons[index].gw.apply_entries(seen, now);
         }
     }
 
@@ -350,7 +350,7 @@
         while let Some(entry) = self.entries.first_entry().filter(|e| e.key().0 <= now) {
             let (daemon, seen) = entry.remove();
             let gw = &self.daemons[daemon].gw;
-            gw.take_entries(seen, gw.now());
+            gw.apply_entries(seen, gw.now());
         }
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
             let (to, datagram) = entry.remove();
--- a/crates/gateway/tests/unit/crashes/world.rs
+++ b/crates/gateway/tests/unit/crashes/world.rs
@@ -265,7 +265,7 @@
         for server in 0..self.servers.len() {
             if self.servers[server].up {
                 let seen = self.seen(server, true);
-                self.daemons[index].gw.take_entries(vec![seen], now);
+                self.daemons[index].gw.apply_entries(vec![seen], now);
             }
         }
     }
@@ -379,7 +379,7 @@
         while let Some(entry) = self.entries.first_entry().filter(|e| e.key().0 <= now) {
             let (daemon, seen) = entry.remove();
             let gw = &self.daemons[daemon].gw;
-            gw.take_entries(vec![seen], gw.now());
+            gw.apply_entries(vec![seen], gw.now());
         }
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= now) {
             let (to, datagram) = entry.remove();
--- a/crates/gateway/tests/unit/mesh.rs
+++ b/crates/gateway/tests/unit/mesh.rs
@@ -94,19 +94,17 @@
             };
             mesh.on_datagram(&sender, self.now);
             match message {
-                Message::Load(note) => mesh.on_note(&sender, note, self.now),
+                Message::Load(note) => mesh.on_load(&sender, note, self.now),
                 Message::CentreLoad(note) => {
-                    let hub = mesh
-                        .forward_target(self.now)
-                        .filter(|h| *h != sender.address);
+                    let hub = mesh.actual_hub(self.now).filter(|h| *h != sender.address);
                     let passed =
                         hub.map(|h| (sender.clone(), h, Message::ForwardedLoad(note.clone())));
                     sent.extend(passed);
-                    mesh.on_sum(&sender, note, self.now);
+                    mesh.on_centre_load(&sender, note, self.now);
                 }
-                Message::ForwardedLoad(note) => mesh.on_sum(&sender, note, self.now),
+                Message::ForwardedLoad(note) => mesh.on_centre_load(&sender, note, self.now),
                 Message::TotalLoad(total) => {
-                    mesh.on_total(&sender, &total, self.now);
+                    mesh.on_total_load(&sender, &total, self.now);
                 }
                 _ => {}
             }
@@ -275,7 +273,7 @@
     let (near, far) = (sender(1, 1, 9), sender(3, 2, 9));
     let mut hub = Membership::new(near.clone());
     hub.learn_member(&far, Millis(START));
-    hub.on_note(&sender(2, 1, 0), note, Millis(START));
+    hub.on_load(&sender(2, 1, 0), note, Millis(START));
     let told = Millis(START + HELD);
     let out = hub.tick(&LoadReport::default(), HubStatus::default(), told);
     let sum = out.into_iter().find_map(|(_, message)| match message {
@@ -288,7 +286,7 @@
 
     let mut other = Membership::new(far);
     other.on_datagram(&near, told);
-    other.on_sum(&near, sum, told);
+    other.on_centre_load(&near, sum, told);
     let late = told.plus(HELD);
     other.tick(&LoadReport::default(), HubStatus::default(), late);
     let (asked, age) = other.total_demand(late.plus(40)).expect("it was told");
@@ -336,6 +334,6 @@
         hubs: Vec::new(),
         crashes: 0,
     };
-    mesh.on_total(&sender(2, 1, 1), &total, now);
+    mesh.on_total_load(&sender(2, 1, 1), &total, now);
     assert!(mesh.has_hub_contact());
 }
--- a/crates/gateway/tests/unit/reading.rs
+++ b/crates/gateway/tests/unit/reading.rs
@@ -15,7 +15,7 @@
         config_age: age,
         changes,
         changes_age: age,
-        reads: true,
+        reads_store: true,
     }
 }
 
@@ -75,7 +75,7 @@
                 reading.on_changes(life, number);
             }
             Read => {
-                let position = reading.position();
+                let position = reading.followed_position();
                 reading.on_entries(position, NOW);
             }
             Copied(number, age) => reading.on_entries_copied(life, number, Millis(NOW.0 - age)),
--- a/crates/gateway/tests/unit/start.rs
+++ b/crates/gateway/tests/unit/start.rs
@@ -135,30 +135,30 @@
             Message::Hello => {
                 let runs = self.now - daemon.started >= KNOWS_HUBS_AFTER_MS;
                 if runs || mesh.has_hub_contact() {
-                    let members = mesh.members(now);
+                    let members = mesh.member_list(now);
                     out.push(((to, from.address), Message::Members(members)));
                 }
             }
             Message::Members(note) => {
-                mesh.on_members(&note, now);
+                mesh.on_member_list(&note, now);
                 daemon.introduced = true;
             }
             Message::Load(note) => {
                 let correction = mesh.correct_follower(from, now);
                 out.extend(correction.map(|c| ((to, from.address), Message::Members(c))));
-                mesh.on_note(from, note, now);
+                mesh.on_load(from, note, now);
             }
             Message::CentreLoad(note) => {
                 let correction = mesh.correct_hub(from, now);
                 out.extend(correction.map(|c| ((to, from.address), Message::Members(c))));
-                let hub = mesh.forward_target(now).filter(|h| *h != from.address);
+                let hub = mesh.actual_hub(now).filter(|h| *h != from.address);
                 out.extend(hub.map(|h| ((to, h), Message::ForwardedLoad(note.clone()))));
-                mesh.on_sum(from, note, now);
+                mesh.on_centre_load(from, note, now);
             }
-            Message::ForwardedLoad(note) => mesh.on_sum(from, note, now),
+            Message::ForwardedLoad(note) => mesh.on_centre_load(from, note, now),
             Message::TotalLoad(note) => {
                 let note: HubReport = note;
-                mesh.on_total(from, &note, now);
+                mesh.on_total_load(from, &note, now);
             }
             _ => {}
         }
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -76,7 +76,7 @@
             offset,
             entry: listed.then_some(entry),
         };
-        self.gw.take_entries(vec![seen], self.gw.now());
+        self.gw.apply_entries(vec![seen], self.gw.now());
     }
 
     /// A request whose caller waits two seconds.
