--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -67,7 +67,7 @@
         registered = true;
         read_members(&gw, &mut health).await;
     }
-    // On a first start the hub's messages arrive at once.
+    // A daemon that starts later than the others receives its hub's messages at once.
     let contacted = || gw.mesh.borrow().has_hub_contact();
     if gw.settings.first_start {
         wait_for(contacted, SETTLE_LIMIT).await;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -247,7 +247,7 @@
         entries,
         ..
     } = copy;
-    let seen = entries
+    let records = entries
         .into_iter()
         .map(|(name, offset, entry)| EntryRecord {
             name,
@@ -259,7 +259,7 @@
     if !disturbed {
         roster.on_peer_served(at);
     }
-    let changes = roster.on_snapshot(seen.collect(), next, now);
+    let changes = roster.on_snapshot(records.collect(), next, now);
     drop(roster);
     gw.apply_all(changes);
     gw.entries_next.set(gw.entries_next.get().max(next));
@@ -291,12 +291,12 @@
 
 fn apply_batch(gw: &Gateway, batch: &Batch, all: bool) {
     let now = gw.now();
-    let seen = batch.records.iter().filter_map(|r| parse_record(gw, r));
+    let records = batch.records.iter().filter_map(|r| parse_record(gw, r));
     if !all {
-        gw.apply_entries(seen.collect(), now);
+        gw.apply_entries(records.collect(), now);
         return;
     }
-    let listed = seen.filter(|s| s.entry.is_some()).collect();
+    let listed = records.filter(|r| r.entry.is_some()).collect();
     let changes = gw.roster.borrow_mut().on_snapshot(listed, batch.next, now);
     gw.apply_all(changes);
 }
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -63,8 +63,8 @@
 /// models, and one of them has most of the requests.
 const OTHER_HUBS_SHARE: f64 = 0.3;
 
-/// The share of the rate for a daemon's own prompts where it chooses in parallel with the others;
-/// see [`PeerSight::own_part`].
+/// The share of the limit on the prompt backlog for a daemon's own prompts where it chooses in
+/// parallel with the others; see [`PeerSight::own_part`].
 const OWN_SHARE: f64 = 0.1;
 
 impl Gateway {
@@ -103,15 +103,15 @@
     let sight = gw.sight();
     gw.router.borrow_mut().set_sight(sight);
     let now = gw.now();
-    let note = load_report(gw);
+    let report = load_report(gw);
     let position = gw.reading.borrow().read_position(now);
     let crashes = gw.router.borrow().crashes().digest();
-    let known = HubStatus { position, crashes };
-    let messages = gw.mesh.borrow_mut().tick(&note, known, now);
-    let asked = gw.mesh.borrow_mut().new_hub_targets(now);
-    let asked = asked.into_iter();
-    let asked = asked.map(|t| (t, Message::CrashesRequest { all: true }));
-    let messages = messages.into_iter().chain(asked);
+    let status = HubStatus { position, crashes };
+    let messages = gw.mesh.borrow_mut().tick(&report, status, now);
+    let requests = gw.mesh.borrow_mut().new_hub_targets(now);
+    let requests = requests.into_iter();
+    let requests = requests.map(|t| (t, Message::CrashesRequest { all: true }));
+    let messages = messages.into_iter().chain(requests);
     messages.map(|(t, m)| (t, gw.datagram(m))).collect()
 }
 
@@ -131,14 +131,14 @@
 fn load_report(gw: &Gateway) -> LoadReport {
     let now = gw.now();
     let router = gw.router.borrow();
-    let note = |l: PeerLoad| UpstreamLoad {
+    let to_load = |l: PeerLoad| UpstreamLoad {
         running: l.running as u32,
         urgent: l.urgent as u32,
         backlog: l.backlog as u32,
     };
     let loads = router.names().filter_map(|n| {
         let load = router.own_load(n)?;
-        (load.running > 0).then(|| (Tag::of_upstream(n), note(load)))
+        (load.running > 0).then(|| (Tag::of_upstream(n), to_load(load)))
     });
     LoadReport {
         sent: now,
@@ -153,13 +153,13 @@
 pub(crate) fn planner_info(gw: &Gateway, now: Millis) -> Option<PlannerInfo> {
     let claim = gw.claim.borrow();
     let (fence, renewed) = (claim.fence(now)?, claim.renewed()?);
-    let note = PlannerInfo {
+    let info = PlannerInfo {
         fence,
         address: gw.mesh.borrow().address(),
         end: renewed.end,
         age: 0,
     };
-    Some(note.aged(now.since(renewed.began)))
+    Some(info.aged(now.since(renewed.began)))
 }
 
 /// The demand of this daemon's callers.
@@ -184,14 +184,14 @@
     let loads = gw.mesh.borrow().other_loads(gw.now());
     let names: Vec<Upstream> = gw.router.borrow().names().cloned().collect();
     for upstream in names {
-        let note = loads
+        let reported = loads
             .get(&Tag::of_upstream(&upstream))
             .copied()
             .unwrap_or_default();
         let load = PeerLoad {
-            running: note.running as usize,
-            urgent: f64::from(note.urgent),
-            backlog: f64::from(note.backlog),
+            running: reported.running as usize,
+            urgent: f64::from(reported.urgent),
+            backlog: f64::from(reported.backlog),
         };
         gw.route(RouteEvent::Peers { upstream, load });
     }
@@ -228,21 +228,21 @@
         emit(LogEvent::MemberJoined, &detail);
     }
     match message {
-        Message::Load(note) => {
-            on_planner_info(gw, note.planner);
+        Message::Load(report) => {
+            on_planner_info(gw, report.planner);
             let mut mesh = gw.mesh.borrow_mut();
             let correction = mesh.correct_follower(&from, now);
-            mesh.on_load(&from, note, now);
+            mesh.on_load(&from, report, now);
             drop(mesh);
             let members = correction.map(|c| (from.address, Message::Members(c)));
             gw.send(members.into_iter().collect());
         }
-        Message::CentreLoad(note) => {
+        Message::CentreLoad(report) => {
             let hub = gw.mesh.borrow_mut().actual_hub(now);
-            gw.forward(&from, hub, Message::ForwardedLoad(note.clone()));
-            on_centre_load(gw, &from, note, now);
+            gw.forward(&from, hub, Message::ForwardedLoad(report.clone()));
+            on_centre_load(gw, &from, report, now);
         }
-        Message::ForwardedLoad(note) => on_centre_load(gw, &from, note, now),
+        Message::ForwardedLoad(report) => on_centre_load(gw, &from, report, now),
         Message::TotalLoad(total) => {
             on_planner_info(gw, total.load.planner);
             gw.mesh.borrow_mut().on_total_load(&from, &total, now);
@@ -254,21 +254,21 @@
         Message::CrashesRequest { all } => gw.on_crashes_request(&from, all),
         Message::ReadPosition(position) => on_read_position(gw, &from, Some(position), None, now),
         Message::Hello => on_hello(gw, &from, now),
-        Message::Members(note) => {
-            gw.mesh.borrow_mut().on_member_list(&note, now);
+        Message::Members(list) => {
+            gw.mesh.borrow_mut().on_member_list(&list, now);
             gw.introduced.set(true);
         }
         Message::EntryChanges { number, entries } => {
             let next = gw.reading.borrow_mut().on_changes(from.incarnation, number);
             if next {
-                let seen = entries
+                let records = entries
                     .into_iter()
                     .map(|(name, offset, entry)| EntryRecord {
                         name,
                         offset,
                         entry,
                     });
-                gw.apply_entries(seen.collect(), now);
+                gw.apply_entries(records.collect(), now);
             }
         }
         Message::Ask(ticket, note) => gw.take_ask(&from, ticket, *note),
@@ -307,12 +307,12 @@
     }
 }
 
-fn on_centre_load(gw: &Gateway, from: &Sender, note: HubReport, now: Millis) {
-    on_planner_info(gw, note.load.planner);
-    gw.on_crashes_digest(from, note.crashes);
-    let (position, ack) = (note.position, note.ack);
+fn on_centre_load(gw: &Gateway, from: &Sender, report: HubReport, now: Millis) {
+    on_planner_info(gw, report.load.planner);
+    gw.on_crashes_digest(from, report.crashes);
+    let (position, ack) = (report.position, report.ack);
     correct_hub(gw, from, now);
-    gw.mesh.borrow_mut().on_centre_load(from, note, now);
+    gw.mesh.borrow_mut().on_centre_load(from, report, now);
     on_read_position(gw, from, position, ack, now);
 }
 
@@ -358,9 +358,9 @@
     }
 }
 
-fn on_planner_info(gw: &Gateway, note: Option<PlannerInfo>) {
+fn on_planner_info(gw: &Gateway, info: Option<PlannerInfo>) {
     let mine = gw.mesh.borrow().address();
-    if let Some(planner) = note.filter(|p| p.address != mine) {
+    if let Some(planner) = info.filter(|p| p.address != mine) {
         let began = gw.now().0.saturating_sub(u64::from(planner.age));
         gw.claim.borrow_mut().heard(planner.end, Millis(began));
     }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -44,7 +44,7 @@
     pub(crate) at: Millis,
     /// The incarnation of the daemon that sent it.
     incarnation: u64,
-    note: LoadReport,
+    report: LoadReport,
 }
 
 impl Received {
@@ -52,7 +52,7 @@
     fn ack(&self, now: Millis) -> Ack {
         Ack {
             incarnation: self.incarnation,
-            sent: self.note.sent,
+            sent: self.report.sent,
             age: now.since(self.at).min(u64::from(u32::MAX)) as u32,
         }
     }
@@ -152,10 +152,10 @@
 
     /// Whether this daemon acts as the hub of its data centre.
     pub(crate) fn is_hub(&mut self, now: Millis) -> bool {
-        let asked = self
+        let acting = self
             .last_report
             .is_some_and(|at| now.since(at) < ACTING_HUB_MS);
-        (asked && !self.election.has_resigned()) || self.is_elected(now)
+        (acting && !self.election.has_resigned()) || self.is_elected(now)
     }
 
     /// Stops being a hub, if this daemon is one. Returns the daemons to notify.
@@ -175,8 +175,8 @@
         self.readers.remove(&from.centre);
         // The callers of its data centre keep sending requests, so the demand is kept.
         if let Some((_, received)) = self.centre_loads.get_mut(&from.centre) {
-            received.note = LoadReport {
-                demand: std::mem::take(&mut received.note.demand),
+            received.report = LoadReport {
+                demand: std::mem::take(&mut received.report.demand),
                 ..LoadReport::default()
             };
         }
@@ -311,11 +311,11 @@
     }
 
     /// Records the hubs that another daemon listed.
-    pub(crate) fn on_member_list(&mut self, note: &MemberList, now: Millis) {
-        for member in note.hubs.iter().chain(&note.next) {
+    pub(crate) fn on_member_list(&mut self, list: &MemberList, now: Millis) {
+        for member in list.hubs.iter().chain(&list.next) {
             self.learn_member(member, now);
         }
-        for hub in &note.hubs {
+        for hub in &list.hubs {
             self.election.on_reported(hub, &self.peers, now);
         }
     }
@@ -326,16 +326,16 @@
         /// die at once.
         const SUCCESSORS: usize = 2;
         let centres: Vec<DataCentre> = self.peers.centres().cloned().collect();
-        let mut note = MemberList::default();
+        let mut list = MemberList::default();
         for centre in centres {
             let hub = self.hub(&centre, now);
             let ranked = self.peers.ranked(&centre);
             let next = ranked.filter(|i| Some(*i) != hub.as_ref()).take(SUCCESSORS);
             let next = next.filter_map(|i| self.sender_of(i));
-            note.next.extend(next);
-            note.hubs.extend(hub.and_then(|h| self.sender_of(&h)));
+            list.next.extend(next);
+            list.hubs.extend(hub.and_then(|h| self.sender_of(&h)));
         }
-        note
+        list
     }
 
     /// The hub to report to a daemon that sends messages as a hub although another one holds that
@@ -353,8 +353,8 @@
     /// hub.
     pub(crate) fn correct_follower(&mut self, from: &Sender, now: Millis) -> Option<MemberList> {
         let hub = self.local_hub(now).filter(|h| *h != self.me.instance)?;
-        let near = from.centre == self.me.centre && hub != from.instance;
-        let hub = self.sender_of(&hub).filter(|_| near)?;
+        let is_local = from.centre == self.me.centre && hub != from.instance;
+        let hub = self.sender_of(&hub).filter(|_| is_local)?;
         Some(MemberList {
             hubs: vec![hub],
             next: Vec::new(),
@@ -374,20 +374,20 @@
     }
 
     /// Records the load report of a daemon of this data centre.
-    pub(crate) fn on_load(&mut self, from: &Sender, note: LoadReport, now: Millis) {
+    pub(crate) fn on_load(&mut self, from: &Sender, report: LoadReport, now: Millis) {
         self.last_report = Some(now);
         let received = Received {
             at: now,
             incarnation: from.incarnation,
-            note,
+            report,
         };
         self.reports.insert(from.instance.clone(), received);
     }
 
     /// Records the load of another data centre.
-    pub(crate) fn on_centre_load(&mut self, from: &Sender, note: HubReport, now: Millis) {
+    pub(crate) fn on_centre_load(&mut self, from: &Sender, report: HubReport, now: Millis) {
         self.election.on_hub_message(from, &self.peers, now);
-        if note.position.is_some_and(|m| m.reads_store) {
+        if report.position.is_some_and(|m| m.reads_store) {
             let reader = (from.instance.clone(), now);
             self.readers.insert(from.centre.clone(), reader);
         } else {
@@ -396,7 +396,7 @@
         let received = Received {
             at: now,
             incarnation: from.incarnation,
-            note: note.load,
+            report: report.load,
         };
         let sum = (from.instance.clone(), received);
         self.centre_loads.insert(from.centre.clone(), sum);
@@ -412,21 +412,21 @@
     }
 
     /// Records the total load. Returns whether its sender is this daemon's hub.
-    pub(crate) fn on_total_load(&mut self, from: &Sender, note: &HubReport, now: Millis) -> bool {
+    pub(crate) fn on_total_load(&mut self, from: &Sender, report: &HubReport, now: Millis) -> bool {
         self.election.on_hub_message(from, &self.peers, now);
         self.contact = true;
         if self.local_hub(now).as_ref() != Some(&from.instance) {
             return false;
         }
-        self.hubs.clone_from(&note.hubs);
-        if !note.load.demand.is_empty() {
-            self.latest_demand = Some((now, note.load.demand.clone()));
+        self.hubs.clone_from(&report.hubs);
+        if !report.load.demand.is_empty() {
+            self.latest_demand = Some((now, report.load.demand.clone()));
         }
-        self.on_centre_size(note.centre_size, now);
+        self.on_centre_size(report.centre_size, now);
         self.total = Some(Received {
             at: now,
             incarnation: from.incarnation,
-            note: note.load.clone(),
+            report: report.load.clone(),
         });
         true
     }
@@ -459,10 +459,10 @@
         for (_, received) in self.centre_loads.values() {
             let age = now.since(received.at);
             if age < REPORT_STALE_MS {
-                sum.daemons += received.note.daemons;
+                sum.daemons += received.report.daemons;
                 merge(&mut sum, received, now);
             } else if age < DEMAND_STALE_MS {
-                sum.demand.add(&received.note.demand, age);
+                sum.demand.add(&received.report.demand, age);
             }
         }
         sum
@@ -477,8 +477,8 @@
         let hub = self.local_hub(now);
         let mut out = Outgoing::new();
         if let Some(hub) = hub.filter(|h| *h != self.me.instance) {
-            let note = Message::Load(own.clone());
-            out.extend(self.peers.address(&hub).map(|a| (a, note)));
+            let report = Message::Load(own.clone());
+            out.extend(self.peers.address(&hub).map(|a| (a, report)));
         }
         if self.is_hub(now) {
             self.send_as_hub(own, known, now, &mut out);
@@ -505,21 +505,21 @@
             let sum = HubReport { ack, ..sum.clone() };
             out.push((address, Message::CentreLoad(sum)));
         }
-        let whole = self.total_load(own, now);
-        let planner = whole.planner.map(|p| p.address);
+        let total = self.total_load(own, now);
+        let planner = total.planner.map(|p| p.address);
         // Only the planner needs the demand.
         let plain = LoadReport {
             demand: DemandReport::default(),
-            ..whole.clone()
+            ..total.clone()
         };
         let reachable = self.reachable_hubs(now);
         for (instance, address) in self.peers.in_centre(&self.me.centre) {
             let load = if planner == Some(address) {
-                whole.clone()
+                total.clone()
             } else {
                 plain.clone()
             };
-            let note = HubReport {
+            let report = HubReport {
                 load,
                 position,
                 hubs: reachable.clone(),
@@ -527,13 +527,13 @@
                 ack: self.reports.get(instance).map(|t| t.ack(now)),
                 centre_size,
             };
-            out.push((address, Message::TotalLoad(note)));
+            out.push((address, Message::TotalLoad(report)));
         }
-        self.latest_demand = Some((now, whole.demand.clone()));
+        self.latest_demand = Some((now, total.demand.clone()));
         self.total = Some(Received {
             at: now,
             incarnation: self.me.incarnation,
-            note: whole,
+            report: total,
         });
     }
 
@@ -550,7 +550,8 @@
         all
     }
 
-    /// The targets of news that each hub must receive even if one of them dies with it: all hubs.
+    /// The targets of a message that each hub must receive, as a hub may die before it forwards it:
+    /// all hubs.
     pub(crate) fn hub_broadcast_targets(
         &mut self,
         audience: Audience,
@@ -610,14 +611,14 @@
         let total = self.total.as_ref();
         total
             .filter(|t| now.since(t.at) < REPORT_STALE_MS)
-            .map(|t| &t.note)
+            .map(|t| &t.report)
     }
 
     /// The number of daemons alive, as last reported. A daemon without fresh reports does not
     /// assume that it is alone.
     pub(crate) fn alive(&self) -> usize {
         let received = self.total.as_ref();
-        received.map_or(1, |t| t.note.daemons.max(1) as usize)
+        received.map_or(1, |t| t.report.daemons.max(1) as usize)
     }
 
     /// The number of daemons known, alive or not.
@@ -653,9 +654,9 @@
             now,
         )
         .count();
-        let asked = self.latest_demand.as_ref();
-        let (rates, unmet) = asked.map_or((0, 0), |(_, a)| (a.rates.len(), a.unmet.len()));
-        let age = asked.map_or("none".to_owned(), |(at, _)| now.since(*at).to_string());
+        let demand = self.latest_demand.as_ref();
+        let (rates, unmet) = demand.map_or((0, 0), |(_, a)| (a.rates.len(), a.unmet.len()));
+        let age = demand.map_or("none".to_owned(), |(at, _)| now.since(*at).to_string());
         format!(
             "daemons={} known={} hubs_heard={reachable} hears_enough={receives} rates={rates} unmet={unmet} age_ms={age}",
             self.alive(),
@@ -683,18 +684,18 @@
         let Some(total) = self.fresh_total(now) else {
             return UpstreamLoads::new();
         };
-        let without = total.upstreams.iter().map(|(name, note)| {
+        let without = total.upstreams.iter().map(|(name, report)| {
             let own = self.own_loads.get(name).copied().unwrap_or_default();
-            (*name, note.without(own))
+            (*name, report.without(own))
         });
         without.collect()
     }
 
     /// The last known total demand and its age; none where it is too old.
     pub(crate) fn total_demand(&self, now: Millis) -> Option<(&DemandReport, Millis)> {
-        let (at, asked) = self.latest_demand.as_ref()?;
+        let (at, demand) = self.latest_demand.as_ref()?;
         let age = now.since(*at);
-        (age < DEMAND_STALE_MS).then_some((asked, Millis(age)))
+        (age < DEMAND_STALE_MS).then_some((demand, Millis(age)))
     }
 
     /// This daemon's own address, as the others know it.
@@ -705,13 +706,13 @@
 
 /// Adds a load report to a sum.
 fn merge(sum: &mut LoadReport, received: &Received, now: Millis) {
-    let note = &received.note;
+    let report = &received.report;
     let age = now.since(received.at);
-    sum.planner = later_renewal(sum.planner, note.planner.map(|p| p.aged(age)));
-    for (name, load) in &note.upstreams {
+    sum.planner = later_renewal(sum.planner, report.planner.map(|p| p.aged(age)));
+    for (name, load) in &report.upstreams {
         sum.upstreams.entry(*name).or_default().add(*load);
     }
-    sum.demand.add(&note.demand, age);
+    sum.demand.add(&report.demand, age);
 }
 
 /// The planner that renewed its lease last, which is the one that holds it.
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -121,8 +121,9 @@
         incarnation: Incarnation,
         model: Model,
     },
-    /// The planner has renewed its lease. Load reports carry this too, but each of several hops may
-    /// lose one, and a daemon that misses the renewals takes longer to succeed the planner.
+    /// The planner has renewed its lease. Load reports carry this too, but a report takes many
+    /// packets and is lost with any of them, and a daemon that misses the renewals takes longer to
+    /// succeed the planner.
     Renewed(PlannerInfo),
     /// The planner has released its lease.
     Released,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -9,7 +9,7 @@
 /// The name under which hubs are ranked.
 const RANK_KEY: &str = "hub";
 
-/// The time after which a daemon that is not heard of is forgotten.
+/// The time without a datagram after which a daemon is forgotten.
 const FORGET_MS: u64 = 120_000;
 
 /// A daemon's rank among those that may become a hub: the strongest instance first, ordered by
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Removes daemons that have not been heard of for [`FORGET_MS`].
+    /// Removes daemons that have sent nothing for [`FORGET_MS`].
     pub(crate) fn prune(&mut self, now: Millis) {
         let expired = |p: &Peer| now.since(p.last_seen) >= FORGET_MS;
         let gone = self.all.iter().filter(|(_, p)| expired(p));
--- a/crates/gateway/src/planner.rs
+++ b/crates/gateway/src/planner.rs
@@ -118,8 +118,8 @@
             release(&gw, &state, "hears-too-few").await;
         }
         if let Some(action) = next_action(&gw) {
-            let (gw, asked) = (Rc::clone(&gw), gw.now());
-            actix_rt::spawn(async move { perform(&gw, action, asked).await });
+            let (gw, requested) = (Rc::clone(&gw), gw.now());
+            actix_rt::spawn(async move { perform(&gw, action, requested).await });
         }
         let Some(orders) = step(&gw, &state, woken) else {
             continue;
@@ -242,11 +242,11 @@
 fn demand(gw: &Gateway, tags: &TagIndex, now: Millis) -> (Rates, UnmetByKey) {
     let mesh = gw.mesh.borrow();
     let known = mesh.total_demand(now);
-    let rates = known.map(|(asked, _)| tags.resolve(&asked.rates));
+    let rates = known.map(|(demand, _)| tags.resolve(&demand.rates));
     let mut rates = rates.unwrap_or_else(|| gw.demand.borrow_mut().rates(now));
-    let unmet = known.map(|(asked, age)| {
+    let unmet = known.map(|(demand, age)| {
         let age = u32::try_from(age.0).unwrap_or(u32::MAX);
-        let named = tags.resolve(&asked.unmet).into_iter();
+        let named = tags.resolve(&demand.unmet).into_iter();
         named.map(|(key, u)| (key, u.aged(age))).collect()
     });
     let mut unmet: UnmetByKey = unmet.unwrap_or_default();
--- a/crates/gateway/src/read_progress.rs
+++ b/crates/gateway/src/read_progress.rs
@@ -22,8 +22,8 @@
 /// The part of the platform's bounds that is reserved for asking for a copy and then for the store.
 const FALLBACK_MS: u64 = 750;
 
-/// How much older than two ticks a position is on arrival, with one of the messages lost in a few
-/// hundred.
+/// How much older than two ticks a position is on arrival, where one message in some hundred is
+/// lost.
 const DELIVERY_MS: u64 = 150;
 
 /// The limits of the age of the entries; the lower one is what the intervals of reads and ticks
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -19,8 +19,8 @@
 /// The number of notes in a datagram; one has about seventy bytes.
 const NOTES_PER_DATAGRAM: usize = 12;
 
-/// The shortest interval between two exchanges of notes after differing digests. News sent
-/// meanwhile arrive in any case.
+/// The shortest interval between two exchanges of notes after differing digests. New notes are sent
+/// in any case.
 const SYNC_INTERVAL_MS: u64 = 500;
 
 impl Gateway {
@@ -72,15 +72,15 @@
     pub(crate) fn on_crash_notes(&self, from: Option<&Sender>, notes: Vec<CrashNote>) {
         let mut actions = Vec::new();
         let now = self.now();
-        let news = self
+        let new_notes = self
             .router
             .borrow_mut()
             .merge_crashes(notes, now, &mut actions);
         actions.iter().for_each(|a| self.hand(a));
-        for note in &news {
+        for note in &new_notes {
             self.log_status(&note.identity.request);
         }
-        self.broadcast_crashes(from, &news);
+        self.broadcast_crashes(from, &new_notes);
     }
 
     fn log_status(&self, request: &Fingerprint) {
