--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -2,7 +2,10 @@
 
 use crate::journal::emit;
 use crate::membership::{Audience, HubStatus, Outgoing};
-use crate::message::{Ack, Datagram, DemandReport, HubReport, LoadReport, Message, PlannerInfo, PlannerUpdate, ReadPosition, Sender, Tag, UpstreamLoad};
+use crate::message::{
+    Ack, Datagram, DemandReport, HubReport, LoadReport, Message, PlannerInfo, PlannerUpdate,
+    ReadPosition, Sender, Tag, UpstreamLoad,
+};
 use crate::roster::EntryRecord;
 use crate::state::Gateway;
 use shaleline_fleet::Rate;
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -1,11 +1,13 @@
 //! The messages between daemons: small datagrams, any of which may be lost.
 
-use crate::Entry;
 use crate::dispatch::{Answer, AskNote, ProgressNote, Ticket};
+use crate::Entry;
 use serde::{Deserialize, Serialize};
 use shaleline_fleet::{Held, Rate, Unmet};
 use shaleline_route::CrashNote;
-use shaleline_types::{Adapter, DataCentre, Incarnation, Instance, Millis, Model, Org, Upstream, stable_hash};
+use shaleline_types::{
+    stable_hash, Adapter, DataCentre, Incarnation, Instance, Millis, Model, Org, Upstream,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/gateway/src/planner.rs
+++ b/crates/gateway/src/planner.rs
@@ -2,11 +2,13 @@
 
 use crate::journal::emit;
 use crate::orders::{await_completion, carry_out, query_engine};
-use crate::planner_lease::{Inherited, next_action, perform, release, should_release};
+use crate::planner_lease::{next_action, perform, release, should_release, Inherited};
 use crate::request::ADAPTER_RETRY;
 use crate::state::{EngineStart, Gateway};
 use crate::tag_index::TagIndex;
-use shaleline_fleet::{LoadWindow, Order, PlanNote, PlanView, Rates, ServicePlanners, Unmet, UnmetByKey, WarmupPhase};
+use shaleline_fleet::{
+    LoadWindow, Order, PlanNote, PlanView, Rates, ServicePlanners, Unmet, UnmetByKey, WarmupPhase,
+};
 use shaleline_types::{LogEvent, Millis, Service, Upstream};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -12,7 +12,7 @@
 use crate::membership::Audience;
 use crate::message::{Message, Sender};
 use crate::state::Gateway;
-use shaleline_route::{CrashNote, MAX_CRASHES, RouteAction, RouteRequest};
+use shaleline_route::{CrashNote, RouteAction, RouteRequest, MAX_CRASHES};
 use shaleline_types::{ErrorKind, Fingerprint, Identity, LogEvent};
 use std::net::SocketAddr;
 
