--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -32,7 +32,7 @@
         return Ok(true);
     }
     if let Some(safeguard) = args.without {
-        safeguard.suspend();
+        safeguard.disable();
     }
     std::panic::set_hook(Box::new(|_| {}));
     let seeds = match args.seed {
--- a/crates/types/examples/tables.rs
+++ b/crates/types/examples/tables.rs
@@ -1,4 +1,4 @@
-//! Prints the tables of docs/ERRORS.md and docs/EVENTS.md, to paste there after a change.
+//! Prints the tables of docs/ERRORS.md and docs/EVENTS.md, to be copied there after a change.
 
 use shaleline_types::{ErrorKind, LogEvent};
 
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,26 +1,26 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The closed list of error kinds and the table that maps each kind to its answer.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A result whose error is the workspace's own [`Error`].
+/// A result with the workspace's [`Error`] type.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Whether a request ran, as told to its caller.
+/// Whether a request ran, as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran and this is its whole answer.
+    /// The request ran and this is its complete answer.
     Run,
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The word that stands in the `x-shaleline-outcome` header.
+    /// The value of the `x-shaleline-outcome` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -31,35 +31,35 @@
     }
 }
 
-/// The few categories that a caller decides by.
+/// The category of an error, which determines how a caller should react.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Category {
     /// The caller must change the request.
     Caller,
     /// The same request may succeed later.
     Later,
-    /// The request may have run; repeating it is the caller's decision.
+    /// The request may have run; the caller decides whether to repeat it.
     Doubt,
     /// The system is at fault.
     System,
 }
 
-/// What a caller is told for one kind of error.
+/// The answer that a caller receives for one kind of error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// The stable word for the kind.
+    /// The stable code of the kind.
     pub code: &'static str,
     /// The HTTP status.
     pub status: u16,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back, in milliseconds, where coming back makes sense.
+    /// The retry-after time, where a retry makes sense.
     pub retry_after: Option<Millis>,
 }
 
 macro_rules! kinds {
     ($($kind:ident $code:literal $status:literal $outcome:ident $category:ident $retry_after:expr, $doc:literal;)+) => {
-        /// Everything that can go wrong, as a caller or operator sees it.
+        /// The kind of an error, as callers and operators see it.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum ErrorKind {
@@ -82,13 +82,13 @@
                 }
             }
 
-            /// The category a caller decides by.
+            /// The category of this kind.
             #[must_use]
             pub const fn category(self) -> Category {
                 match self { $(Self::$kind => Category::$category,)+ }
             }
 
-            /// What the kind means, in one sentence.
+            /// A one-sentence description of the kind.
             #[must_use]
             pub const fn description(self) -> &'static str {
                 match self { $(Self::$kind => $doc,)+ }
@@ -130,9 +130,10 @@
     Internal "internal" 500 Unknown System None, "An invariant did not hold.";
 }
 
-/// An error with its kind, a sentence for people, and when to come back.
+/// An error with its kind, a human-readable detail and a retry-after time.
 ///
-/// Opaque on purpose: decide by [`Error::kind`] or [`Error::classify`].
+/// The representation is private on purpose: handle errors by [`Error::kind`] or
+/// [`Error::category`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error(Box<Inner>);
 
@@ -144,7 +145,7 @@
 }
 
 impl Error {
-    /// Makes an error of `kind`; `detail` is shown to the caller and names no secret.
+    /// Creates an error of `kind`. `detail` is shown to the caller and must not contain secrets.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         Self(Box::new(Inner {
             kind,
@@ -153,32 +154,32 @@
         }))
     }
 
-    /// States when to come back, where that is known better than by kind.
+    /// Replaces the kind's default retry-after time by a more precise one.
     #[must_use]
     pub fn with_retry_after(mut self, after: Millis) -> Self {
         self.0.retry_after = Some(after);
         self
     }
 
-    /// The kind.
+    /// The kind of this error.
     #[must_use]
     pub fn kind(&self) -> ErrorKind {
         self.0.kind
     }
 
-    /// The category a caller decides by.
+    /// The category of this error.
     #[must_use]
     pub fn category(&self) -> Category {
         self.0.kind.category()
     }
 
-    /// When to come back.
+    /// The retry-after time, if a retry makes sense.
     #[must_use]
     pub fn retry_after(&self) -> Option<Millis> {
         self.0.retry_after
     }
 
-    /// The sentence for people.
+    /// The human-readable detail.
     #[must_use]
     pub fn detail(&self) -> &str {
         &self.0.detail
--- a/crates/types/src/fingerprint.rs
+++ b/crates/types/src/fingerprint.rs
@@ -1,29 +1,30 @@
-//! Which requests are the same, and which start of an upstream something is about.
+//! Identities of requests and of incarnations of upstreams.
 
 use crate::{stable_hash, Incarnation, Upstream};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The key of the hash. It keeps these hashes apart from all others; it is no secret, as it
-/// must be the same in every daemon, and the hash resists collisions without one.
-const KEY: &[u8; 32] = b"shaleline identity of a request ";
+/// The key of the hash, which separates these hashes from all other uses. It is not secret: it
+/// must be the same in every daemon, and the hash is collision-resistant without a secret key.
+const FINGERPRINT_KEY: &[u8; 32] = b"shaleline identity of a request ";
 
-/// So many bytes are shown to people.
-const SHOWN: usize = 4;
+/// The number of bytes that `Display` prints.
+const DISPLAYED_BYTES: usize = 4;
 
-/// What a request is, whichever attempt of its caller it is: a keyed hash (BLAKE3) of what is asked
-/// for, and with which body.
+/// A keyed hash (BLAKE3) of a request's target and body. All attempts of a caller at the same
+/// request have the same fingerprint.
 ///
-/// 128 bits of a hash that resists collisions: no caller can make a request that is taken for
-/// another one. `docs/CRASHES.md` says what it is needed for.
+/// The hash has 128 bits and is collision-resistant, so that no caller can craft a request that is
+/// mistaken for another one. `docs/CRASHES.md` describes its use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// The fingerprint of `parts`, none of which runs into the next.
+    /// The fingerprint of `parts`. Each part is prefixed by its length, so that moving bytes from
+    /// one part to the next changes the fingerprint.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
-        let mut hasher = blake3::Hasher::new_keyed(KEY);
+        let mut hasher = blake3::Hasher::new_keyed(FINGERPRINT_KEY);
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
@@ -33,24 +34,25 @@
         Self(bytes)
     }
 
-    /// All of it in hexadecimal, as a key in a store.
+    /// The whole fingerprint in hexadecimal, for use as a key in a store.
     #[must_use]
     pub fn to_hex(&self) -> String {
         self.0.iter().map(|b| format!("{b:02x}")).collect()
     }
 }
 
-/// Whose request it is, and which.
+/// A request together with its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Where it came from as a hash, to tell whose requests are many. It refuses nothing by itself.
+    /// A hash of the request's origin, to detect callers with many requests. No request is refused
+    /// because of this hash alone.
     pub caller: u64,
-    /// The request.
+    /// The fingerprint of the request.
     pub request: Fingerprint,
 }
 
 impl Identity {
-    /// The identity of a request that came from `caller` and is made of `parts`.
+    /// The identity of a request from `caller` that consists of `parts`.
     #[must_use]
     pub fn of(caller: &str, parts: &[&[u8]]) -> Self {
         Self {
@@ -61,28 +63,28 @@
 }
 
 impl fmt::Display for Fingerprint {
-    /// A short digest for logs: enough to find the lines of one request, too little to tell
-    /// what is in it.
+    /// Writes a short prefix for logs: enough to find the lines of one request, too little to
+    /// reveal its content.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0[..SHOWN]
+        self.0[..DISPLAYED_BYTES]
             .iter()
             .try_for_each(|b| write!(f, "{b:02x}"))
     }
 }
 
-/// One start of an upstream as a hash: an upstream may start again under its name, and what
-/// ended one start says nothing of the next.
+/// A hash of an upstream's name and incarnation. An upstream may restart under its name, and the
+/// cause that ended one incarnation says nothing about the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IncarnationTag(u64);
 
 impl IncarnationTag {
-    /// The tag of a start.
+    /// The tag of one incarnation of `upstream`.
     #[must_use]
     pub fn of(upstream: &Upstream, incarnation: Incarnation) -> Self {
         Self(stable_hash(&[upstream.as_str(), &incarnation.to_string()]))
     }
 
-    /// The tag of the start after this one, where nothing is known of it yet.
+    /// A placeholder tag for the next incarnation, for use while that incarnation is unknown.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.wrapping_add(1))
--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -1,10 +1,11 @@
-//! Hashes that are the same in every process and version.
+//! Hash functions that give the same result in every process and version.
 
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A 64-bit hash of `parts` that never changes between processes or versions.
+/// A 64-bit hash of `parts` that is the same in every process and version. It is not
+/// collision-resistant.
 #[must_use]
 pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut text = String::new();
@@ -15,7 +16,7 @@
     xxh3_64(text.as_bytes())
 }
 
-/// The SHA-256 of `parts` in hexadecimal, for keys that callers may choose in bad faith.
+/// The SHA-256 of `parts` in hexadecimal, for keys that a malicious caller may choose.
 #[must_use]
 pub fn digest(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
@@ -31,7 +32,8 @@
 
 /// Orders `candidates` by rendezvous hashing for `key`, best first.
 ///
-/// Every process ranks alike, and a candidate that comes or goes moves only its own keys.
+/// Every process computes the same order, and adding or removing a candidate moves only that
+/// candidate's own keys.
 #[must_use]
 pub fn rank<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let mut scored: Vec<(u64, &str)> = candidates
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,12 +1,12 @@
-//! Identifiers, one type for each kind of thing.
+//! Identifiers, with one type for each kind of object.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
 use std::fmt;
 
-const MAX_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
-/// Says why a text can't serve as a name.
+/// The error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidName(String);
 
@@ -14,7 +14,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:?} is no name: 1 to {MAX_NAME} letters, digits, '-', '_', '.' or '/'",
+            "{:?} is not a valid name: expected 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or '/'",
             self.0
         )
     }
@@ -22,10 +22,10 @@
 
 impl std::error::Error for InvalidName {}
 
-fn check(text: &str) -> Result<(), InvalidName> {
+fn check_name(text: &str) -> Result<(), InvalidName> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-    if text.is_empty() || text.len() > MAX_NAME || !text.chars().all(allowed) {
-        return Err(InvalidName(text.chars().take(MAX_NAME).collect()));
+    if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.chars().all(allowed) {
+        return Err(InvalidName(text.chars().take(MAX_NAME_BYTES).collect()));
     }
     Ok(())
 }
@@ -38,12 +38,13 @@
         pub struct $name(String);
 
         impl $name {
-            /// Takes a text as a name of this kind.
+            /// Parses a name of this kind.
             ///
             /// # Errors
-            /// [`InvalidName`] where the text is empty, too long or holds other characters.
+            /// [`InvalidName`] if the text is empty, too long or contains a character that is not
+            /// allowed.
             pub fn from_text(text: &str) -> Result<Self, InvalidName> {
-                check(text).map(|()| Self(text.to_owned()))
+                check_name(text).map(|()| Self(text.to_owned()))
             }
 
             /// The name as text.
@@ -56,7 +57,7 @@
         impl TryFrom<String> for $name {
             type Error = InvalidName;
             fn try_from(text: String) -> Result<Self, InvalidName> {
-                check(&text).map(|()| Self(text))
+                check_name(&text).map(|()| Self(text))
             }
         }
 
@@ -81,7 +82,7 @@
 }
 
 name!(
-    /// An organisation: a customer that trusts no other.
+    /// An organisation: a customer (tenant) that is isolated from all others.
     Org
 );
 name!(
@@ -93,7 +94,7 @@
     Adapter
 );
 name!(
-    /// A plain service that stands beside the engines.
+    /// A plain service, which runs outside the engines.
     Service
 );
 name!(
@@ -105,11 +106,11 @@
     Instance
 );
 name!(
-    /// A zone: instances that are lost together.
+    /// A zone: a group of instances that can fail together.
     DataCentre
 );
 name!(
-    /// A template that organisations are made from.
+    /// A template from which organisations are configured.
     TemplateName
 );
 name!(
@@ -117,7 +118,7 @@
     Stream
 );
 name!(
-    /// The operator's own identity for a change, so that a repeated call is harmless.
+    /// An id that the operator chooses for a change, which makes a repeated call idempotent.
     ChangeId
 );
 
@@ -139,10 +140,10 @@
 }
 
 number!(
-    /// One life of one process: drawn at random at start, never used again.
+    /// One incarnation of a process. It is drawn at random at start and never reused.
     WriterId
 );
 number!(
-    /// One request of one caller, unique within a daemon's life.
+    /// One request of one caller, unique within an incarnation of a daemon.
     RequestId
 );
--- a/crates/types/src/incarnation.rs
+++ b/crates/types/src/incarnation.rs
@@ -1,27 +1,28 @@
-//! Which start of an upstream something is about.
+//! The incarnation of an upstream.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// When an upstream started, where the platform says so.
+/// The start time of an upstream, if the platform reports it.
 ///
-/// An upstream may start again under its name. It then holds and knows nothing of before, and
-/// what is heard late of the earlier start says nothing of it.
+/// An upstream may restart under its name. The new incarnation has none of the earlier state, and
+/// late reports about the earlier incarnation don't apply to it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Incarnation(Option<u64>);
 
 impl Incarnation {
-    /// The start at this Unix millisecond.
+    /// The incarnation that started at this Unix time in milliseconds.
     #[must_use]
     pub const fn from_millis(at: u64) -> Self {
         Self(Some(at))
     }
 
-    /// Whether what is heard of this start is about an earlier, the same or a later one than
-    /// `known`. What does not say when it started, where that is known, is as good as earlier:
-    /// nothing tells that it is not. Where only now a start is named, it is taken for the one
-    /// that was known without.
+    /// Compares the incarnation in a report with the `known` one.
+    ///
+    /// A report without a start time counts as earlier if the start time is known, because it
+    /// can't be shown to be current. If no start time was known so far, any report counts as
+    /// being about the known incarnation.
     #[must_use]
     pub fn compare_to(self, known: Self) -> Ordering {
         match (self.0, known.0) {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,17 +1,17 @@
-//! Words that every other crate of shaleline shares.
+//! Types that all other crates of shaleline share.
 //!
-//! * [`Name`]-like identifiers ([`Org`], [`Model`], [`Upstream`], ...) keep one kind of
-//!   thing from being passed where another is meant.
-//! * Units ([`Millis`], [`Megabytes`], [`Offset`]) keep numbers from being mixed up.
-//! * [`Error`] carries one [`ErrorKind`] of a closed list. The table from kind to
-//!   answer is in [`ErrorKind::answer`] and, for people, in `docs/ERRORS.md`.
+//! * Identifiers ([`Org`], [`Model`], [`Upstream`], ...) have one type for each kind of object,
+//!   so that the compiler rejects one kind where another is expected.
+//! * Units ([`Millis`], [`Megabytes`], [`Offset`]) prevent mixing quantities.
+//! * [`Error`] carries one [`ErrorKind`] of a closed list. [`ErrorKind::answer`] maps a kind to
+//!   its answer, and `docs/ERRORS.md` documents the table.
 //! * [`LogEvent`] lists the numbered log events of `docs/EVENTS.md`.
-//! * [`rank`] orders candidates by rendezvous hashing, which is how work is spread over
-//!   daemons without asking anybody.
-//! * [`Incarnation`] tells starts of one upstream apart.
-//! * [`Fingerprint`] tells that two requests are the same, [`IncarnationTag`] names one start of an
-//!   upstream.
-//! * [`TokenHash`] and [`KeyHash`] are the only forms in which a secret is kept.
+//! * [`rank`] orders candidates by rendezvous hashing, which distributes work over daemons
+//!   without coordination.
+//! * [`Incarnation`] distinguishes the starts of one upstream.
+//! * [`Fingerprint`] identifies equal requests, and [`IncarnationTag`] identifies one incarnation
+//!   of an upstream.
+//! * [`TokenHash`] and [`KeyHash`] are the only forms in which secrets are stored.
 
 mod error;
 mod event;
--- a/crates/types/src/secret.rs
+++ b/crates/types/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets are kept as hashes and compared in constant time.
+//! Hashes of secrets. Secrets are stored only as hashes and compared in constant time.
 
 use crate::digest;
 use serde::{Deserialize, Serialize};
@@ -12,20 +12,20 @@
 pub struct TokenHash(String);
 
 impl TokenHash {
-    /// Hashes a token that a caller showed.
+    /// Hashes a token that a caller presented.
     #[must_use]
     pub fn from_token(token: &str) -> Self {
         Self(digest(&[b"shaleline-token", token.as_bytes()]))
     }
 
-    /// Takes a hash that was computed elsewhere, 64 hexadecimal digits.
+    /// Parses a hash of 64 hexadecimal digits; `None` if it is malformed.
     #[must_use]
     pub fn from_hex(hex: &str) -> Option<Self> {
         let valid = hex.len() == 64 && hex.bytes().all(|b| b.is_ascii_hexdigit());
         valid.then(|| Self(hex.to_ascii_lowercase()))
     }
 
-    /// Compares in constant time, so that timing tells nothing about the kept hash.
+    /// Compares in constant time, so that timing reveals nothing about the stored hash.
     #[must_use]
     pub fn matches(&self, other: &Self) -> bool {
         self.0.as_bytes().ct_eq(other.0.as_bytes()).into()
@@ -38,13 +38,13 @@
     }
 }
 
-/// The key under which callers' API keys are hashed. It keeps these hashes apart from all others.
-const API_KEY: &[u8; 32] = b"shaleline API keys of callers  1";
+/// The hash key for callers' API keys, which separates these hashes from all other uses.
+const API_KEY_HASH_KEY: &[u8; 32] = b"shaleline API keys of callers  1";
 
-/// The hash of a caller's API key (BLAKE3), in which form alone a key is kept.
+/// The hash of a caller's API key (BLAKE3), the only form in which a key is stored.
 ///
-/// What a caller shows is looked up and compared as a hash: how long that takes tells nothing of
-/// how much of a key was right. Nothing shows a hash, as keys may be short.
+/// A presented key is looked up and compared as a hash, so that timing doesn't reveal how much of
+/// the key was right. The hash is never printed, because keys may be short enough to guess.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyHash(blake3::Hash);
 
@@ -52,7 +52,7 @@
     /// Hashes a key.
     #[must_use]
     pub fn from_key(key: &str) -> Self {
-        Self(blake3::keyed_hash(API_KEY, key.as_bytes()))
+        Self(blake3::keyed_hash(API_KEY_HASH_KEY, key.as_bytes()))
     }
 }
 
--- a/crates/types/src/unit.rs
+++ b/crates/types/src/unit.rs
@@ -1,4 +1,4 @@
-//! Units as types, so that a time is never added to a size.
+//! Units as types, so that a time can't be added to a size.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -13,13 +13,13 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Adds without overflow, because a far deadline must not wrap around.
+            /// Adds with saturation, because a distant deadline must not wrap around.
             #[must_use]
             pub const fn plus(self, more: u64) -> Self {
                 Self(self.0.saturating_add(more))
             }
 
-            /// The distance from `earlier` to this value, zero where `earlier` is later.
+            /// The difference to `earlier`, or zero if `earlier` is larger.
             #[must_use]
             pub const fn since(self, earlier: Self) -> u64 {
                 self.0.saturating_sub(earlier.0)
@@ -35,7 +35,8 @@
 }
 
 unit!(
-    /// A time or a duration in milliseconds. Times are passed in; no decision reads a clock.
+    /// A time or a duration in milliseconds. Times are passed in as arguments, and decisions don't
+    /// read a clock.
     Millis,
     "ms"
 );
--- a/crates/types/tests/docs.rs
+++ b/crates/types/tests/docs.rs
@@ -1,16 +1,16 @@
-//! Holds docs/ERRORS.md and docs/EVENTS.md against the code.
+//! Checks that docs/ERRORS.md and docs/EVENTS.md match the code.
 
 use shaleline_types::{ErrorKind, LogEvent};
 use std::collections::BTreeSet;
 
-fn doc(name: &str) -> String {
+fn read_page(name: &str) -> String {
     let path = format!("{}/../../docs/{name}", env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(path).expect("the page exists")
 }
 
 #[test]
 fn errors_page_lists_every_kind_with_its_answer() {
-    let page = doc("ERRORS.md");
+    let page = read_page("ERRORS.md");
     for kind in ErrorKind::ALL {
         let a = kind.answer();
         let row = format!("| `{}` | {} | `{}` |", a.code, a.status, a.outcome.as_str());
@@ -22,7 +22,7 @@
 
 #[test]
 fn events_page_lists_every_event() {
-    let page = doc("EVENTS.md");
+    let page = read_page("EVENTS.md");
     for event in LogEvent::ALL {
         let row = format!("| {} | {:?} | {} |", event.number(), event, event.text());
         assert!(page.contains(&row), "docs/EVENTS.md lacks: {row}");
--- a/crates/types/tests/names.rs
+++ b/crates/types/tests/names.rs
@@ -1,13 +1,13 @@
-//! Names and secrets.
+//! Tests of names, token hashes and rendezvous ranking.
 
 use shaleline_testkit::cases;
 use shaleline_types::{rank, Org, TokenHash};
 
-fn accepted(text: &str) -> bool {
+fn is_valid(text: &str) -> bool {
     Org::from_text(text).is_ok()
 }
 
-cases! { accepted;
+cases! { is_valid;
     plain_name: "mraznik" => true,
     name_with_version: "frost-advisor/2" => true,
     empty_name: "" => false,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_candidate_that_goes_moves_only_its_own_keys() {
+fn removing_a_candidate_moves_only_its_own_keys() {
     let all = ["a", "b", "c", "d"];
     for i in 0..200 {
         let key = format!("key{i}");
