--- a/crates/lease/src/keeper.rs
+++ b/crates/lease/src/keeper.rs
@@ -1,34 +1,34 @@
-//! What one daemon does about a lease.
+//! Decides which lease records a daemon appends.
 
 use crate::{Lease, LeaseBody, LeaseVerdict};
 use shaleline_types::{Instance, Millis, Offset, WriterId};
 
-/// How long a challenge stays open before its challenger claims. Long enough for an
-/// owner that lives to read it and answer; short enough for a takeover within 5 s.
-const ANSWER_WAIT: Millis = Millis(1_000);
+/// How long a challenger waits before it claims the lease. This gives a live owner enough time to
+/// read and answer the challenge, and still allows a takeover within 5 s.
+const CHALLENGE_TIMEOUT: Millis = Millis(1_000);
 
-/// How long a challenger waits for the verdict on its own record before it asks again.
-const VERDICT_WAIT: Millis = Millis(10_000);
+/// How long a keeper waits for the verdict on its own record before it appends another one.
+const VERDICT_TIMEOUT: Millis = Millis(10_000);
 
-/// What the keeper looks at in one step.
+/// The input of one step of a [`Keeper`].
 #[derive(Debug, Clone, Copy)]
 pub struct KeeperInput<'a> {
     /// The replayed lease.
     pub lease: &'a Lease,
-    /// Whether this daemon is the one that should own it, by rendezvous over those alive.
+    /// Whether this daemon should own the lease, by rendezvous hashing over the live daemons.
     pub preferred: bool,
-    /// Whether the owner's instance seems alive.
+    /// Whether the owner's instance appears to be alive.
     pub owner_alive: bool,
     /// Whether this daemon is stopping.
     pub stopping: bool,
 }
 
-/// Decides what this daemon appends. It keeps one record on its way at a time.
+/// Decides which lease records this daemon appends, with at most one record in flight.
 #[derive(Debug)]
 pub struct Keeper {
     writer: WriterId,
     instance: Instance,
-    waiting: Option<Millis>,
+    awaiting_verdict_since: Option<Millis>,
     challenge: Option<(Offset, Millis)>,
 }
 
@@ -39,7 +39,7 @@
         Self {
             writer,
             instance,
-            waiting: None,
+            awaiting_verdict_since: None,
             challenge: None,
         }
     }
@@ -47,20 +47,20 @@
     /// The record to append now, if any.
     pub fn step(&mut self, input: KeeperInput<'_>, now: Millis) -> Option<LeaseBody> {
         if self
-            .waiting
-            .is_some_and(|since| now.since(since) < VERDICT_WAIT.0)
+            .awaiting_verdict_since
+            .is_some_and(|since| now.since(since) < VERDICT_TIMEOUT.0)
         {
             return None;
         }
         let body = self.decide(input, now)?;
-        self.waiting = Some(now);
+        self.awaiting_verdict_since = Some(now);
         Some(body)
     }
 
     fn decide(&mut self, input: KeeperInput<'_>, now: Millis) -> Option<LeaseBody> {
         if let Some(fence) = input.lease.fence_of(self.writer) {
             self.challenge = None;
-            return own_duty(input, fence);
+            return next_owner_record(input, fence);
         }
         if input.stopping || !input.preferred {
             return None;
@@ -74,8 +74,8 @@
         }
         match self.challenge {
             Some((offset, since)) if input.lease.is_open(offset) => {
-                let ripe = now.since(since) >= ANSWER_WAIT.0;
-                ripe.then(|| self.claim(Some(offset)))
+                let timed_out = now.since(since) >= CHALLENGE_TIMEOUT.0;
+                timed_out.then(|| self.claim(Some(offset)))
             }
             _ => Some(LeaseBody::Challenge {
                 fence: holder.fence,
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Takes the verdict on the record that [`Keeper::step`] returned last.
+    /// Handles the verdict on the record that [`Keeper::step`] returned last.
     pub fn on_verdict(&mut self, verdict: LeaseVerdict, now: Millis) {
-        self.waiting = None;
+        self.awaiting_verdict_since = None;
         self.challenge = match verdict {
             LeaseVerdict::Challenged(offset) => Some((offset, now)),
             _ => None,
@@ -100,7 +100,7 @@
     }
 }
 
-fn own_duty(input: KeeperInput<'_>, fence: Offset) -> Option<LeaseBody> {
+fn next_owner_record(input: KeeperInput<'_>, fence: Offset) -> Option<LeaseBody> {
     if input.stopping {
         return Some(LeaseBody::Release { fence });
     }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -1,59 +1,59 @@
-//! The replayed lease.
+//! The state of a lease, replayed from the log.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Instance, Offset, WriterId};
 
-/// The owner and its fencing number.
+/// The owner and its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The life of the owner's process.
+    /// The incarnation of the owner's process.
     pub writer: WriterId,
-    /// Where it runs.
+    /// The instance on which the owner runs.
     pub instance: Instance,
-    /// The offset of its claim: larger than that of any owner before it.
+    /// The offset of the owner's claim, which is larger than that of any previous owner.
     pub fence: Offset,
 }
 
-/// What a record says about a lease.
+/// The body of a lease record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseBody {
-    /// Takes a free lease, or one whose owner left the named challenge unanswered.
+    /// Acquires a free lease, or one whose owner did not answer the given challenge.
     Claim {
-        /// Where the claimant runs.
+        /// The instance on which the claimant runs.
         instance: Instance,
         /// The offset of the claimant's challenge; `None` if the lease was free.
         after: Option<Offset>,
     },
-    /// Asks the owner of this fencing number to show that it lives.
+    /// Asks the owner with this fencing token to prove that it is alive.
     Challenge {
-        /// The owner's fencing number.
+        /// The owner's fencing token.
         fence: Offset,
     },
     /// Answers every open challenge.
     Renew {
-        /// The owner's fencing number.
+        /// The owner's fencing token.
         fence: Offset,
     },
-    /// Gives the lease up at once.
+    /// Releases the lease immediately.
     Release {
-        /// The owner's fencing number.
+        /// The owner's fencing token.
         fence: Offset,
     },
 }
 
-/// What the replay made of a record.
+/// The verdict of the replay on a lease record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseVerdict {
-    /// The writer is the owner under this fencing number.
+    /// The writer is the owner with this fencing token.
     Acquired(Offset),
-    /// The challenge stands open at this offset.
+    /// The writer's challenge at this offset is open.
     Challenged(Offset),
-    /// All challenges are answered.
+    /// All open challenges are answered.
     Renewed,
     /// The lease is free.
     Released,
-    /// Without effect.
+    /// The record has no effect.
     NoEffect,
 }
 
@@ -63,7 +63,8 @@
     by: WriterId,
 }
 
-/// Who owns something, as every reader of the stream agrees.
+/// The owner and the open challenges of a lease. Every reader of the stream computes the same
+/// state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     holder: Option<Holder>,
@@ -72,7 +73,7 @@
 }
 
 impl Lease {
-    /// The owner.
+    /// The owner of the lease, if any.
     #[must_use]
     pub fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
@@ -90,23 +91,23 @@
         self.open.iter().any(|c| c.offset == offset)
     }
 
-    /// The fencing number under which `writer` is the owner.
+    /// The fencing token of `writer` if it is the owner.
     #[must_use]
     pub fn fence_of(&self, writer: WriterId) -> Option<Offset> {
         let holder = self.holder.as_ref()?;
         (holder.writer == writer).then_some(holder.fence)
     }
 
-    /// Applies a record that stands at `offset`.
+    /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: Offset, writer: WriterId, body: &LeaseBody) -> LeaseVerdict {
         match body {
             LeaseBody::Claim { instance, after } => self.claim(offset, writer, instance, *after),
             LeaseBody::Challenge { fence } => self.challenge(offset, writer, *fence),
-            LeaseBody::Renew { fence } if self.is_own(writer, *fence) => {
+            LeaseBody::Renew { fence } if self.is_held_by(writer, *fence) => {
                 self.open.clear();
                 LeaseVerdict::Renewed
             }
-            LeaseBody::Release { fence } if self.is_own(writer, *fence) => {
+            LeaseBody::Release { fence } if self.is_held_by(writer, *fence) => {
                 self.holder = None;
                 self.open.clear();
                 LeaseVerdict::Released
@@ -115,7 +116,7 @@
         }
     }
 
-    fn is_own(&self, writer: WriterId, fence: Offset) -> bool {
+    fn is_held_by(&self, writer: WriterId, fence: Offset) -> bool {
         self.fence_of(writer) == Some(fence)
     }
 
@@ -126,16 +127,17 @@
         instance: &Instance,
         after: Option<Offset>,
     ) -> LeaseVerdict {
-        let unanswered = |a: Offset| self.open.iter().any(|c| c.offset == a && c.by == writer);
+        let has_open_challenge =
+            |a: Offset| self.open.iter().any(|c| c.offset == a && c.by == writer);
         let granted = match (&self.holder, after) {
             (None, _) => true,
-            (Some(_), Some(a)) => unanswered(a),
+            (Some(_), Some(a)) => has_open_challenge(a),
             (Some(_), None) => false,
         };
         if !granted {
             return LeaseVerdict::NoEffect;
         }
-        assert!(self.last < Some(offset), "fencing numbers only grow");
+        assert!(self.last < Some(offset), "fencing tokens must increase");
         self.last = Some(offset);
         self.holder = Some(Holder {
             writer,
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,13 +1,13 @@
-//! Ownership and fencing numbers decided by log order, without clocks.
+//! Ownership and fencing tokens decided by log order, without clocks.
 //!
-//! * [`Lease`] is replayed from a stream. An owner's fencing number is the offset of its
-//!   claim. Whoever suspects the owner appends a challenge; an owner that still lives
-//!   answers by a renewal; a claim that names an unanswered challenge wins.
+//! * [`Lease`] is replayed from a stream. An owner's fencing token is the offset of its
+//!   claim. A daemon that suspects the owner has failed appends a challenge, a live owner
+//!   answers it by a renewal, and a claim that names an unanswered challenge succeeds.
 //! * [`Keeper`] decides, at one daemon, what to append and when.
 //!
-//! Ownership only saves work: one planner instead of nine. What must not happen twice
-//! rests on records that the replay judges, never on somebody's belief to be owner. The
-//! ways that were weighed are in `docs/LEASES.md`.
+//! Ownership is only an optimisation: one daemon plans instead of nine. Actions that must not
+//! happen twice depend on records that the replay validates, never on a daemon's belief that it
+//! is the owner. `docs/LEASES.md` compares the alternatives.
 
 mod keeper;
 mod lease;
--- a/crates/once/src/attempt.rs
+++ b/crates/once/src/attempt.rs
@@ -1,4 +1,4 @@
-//! What the daemon that serves a keyed request does, step by step.
+//! The state machine of the daemon that serves a keyed request.
 
 use crate::{KeptAnswer, OnceBody, OnceKey, OnceVerdict, MAX_KEPT_BODY_BYTES};
 use shaleline_types::{ErrorKind, Millis, RequestId, Safeguard, WriterId};
@@ -6,63 +6,63 @@
 /// How a send to the upstream ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered(KeptAnswer),
-    /// The connection failed before a byte of the request was written.
+    /// The connection failed before any byte of the request was written.
     NotSent,
-    /// It failed later, or no answer came in time.
+    /// The send failed later, or no answer arrived in time.
     Unknown,
 }
 
-/// What happened to an attempt.
+/// An event that concerns an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEvent {
     /// The request arrived.
     Start,
-    /// The request arrived, and the journal already knows its key.
+    /// The request arrived and the journal already has its key.
     Known(OnceVerdict),
-    /// The replay judged this attempt's `begun`.
+    /// The replay returned the verdict on this attempt's `begun` record.
     Judged(OnceVerdict),
     /// The send ended.
     Sent(SendOutcome),
-    /// Another attempt that held the key has finished.
+    /// The other attempt that held the key has finished.
     OtherFinished(KeptAnswer),
-    /// Another attempt that held the key has given up without sending.
+    /// The other attempt that held the key was abandoned without a send.
     OtherAbandoned,
-    /// Another attempt holds the key and its daemon is gone.
+    /// The daemon of the other attempt that holds the key has failed.
     OtherLost,
-    /// The time to wait for the log, for another attempt or for the upstream is over.
+    /// The wait for the log, for another attempt or for the upstream timed out.
     Deadline,
 }
 
-/// What to do next.
+/// An action that the daemon must take for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptAction {
     /// Append this record and report the verdict.
     Append(OnceBody),
-    /// Send the request, this once.
+    /// Send the request, exactly once.
     Send,
-    /// Watch the key, held by this writer, until it ends.
+    /// Watch the key, which this writer holds, until its attempt ends.
     Watch(WriterId),
-    /// Tell the caller that it ran, and the answer. `kept` if it is an earlier one.
+    /// Report to the caller that the request ran, with its answer.
     Answer {
         /// The answer.
         answer: KeptAnswer,
-        /// Whether it was kept from an earlier attempt.
+        /// Whether the answer was kept from an earlier attempt.
         kept: bool,
     },
-    /// Tell the caller that it failed.
+    /// Report to the caller that the request failed.
     Fail(ErrorKind),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     New,
-    Asked,
+    AwaitingVerdict,
     Sending,
     Watching,
-    /// The caller has its answer. A `begun` that lands now is abandoned.
-    GivenUp,
+    /// The caller has its answer. A `begun` record that is appended now has no effect.
+    Abandoned,
     Done,
 }
 
@@ -73,11 +73,11 @@
     id: RequestId,
     request: String,
     phase: Phase,
-    began: Option<Millis>,
+    started_at: Option<Millis>,
 }
 
 impl Attempt {
-    /// An attempt `id` at `key`; `request` is a digest of the request.
+    /// Creates the attempt `id` at `key`; `request` is a digest of the request.
     #[must_use]
     pub fn new(key: OnceKey, id: RequestId, request: String) -> Self {
         Self {
@@ -85,11 +85,11 @@
             id,
             request,
             phase: Phase::New,
-            began: None,
+            started_at: None,
         }
     }
 
-    /// The key.
+    /// The key of the request.
     #[must_use]
     pub fn key(&self) -> &OnceKey {
         &self.key
@@ -101,33 +101,33 @@
         &self.request
     }
 
-    /// When it started.
+    /// When the attempt started.
     #[must_use]
-    pub fn began(&self) -> Option<Millis> {
-        self.began
+    pub fn started_at(&self) -> Option<Millis> {
+        self.started_at
     }
 
-    /// Whether nothing is left to do.
+    /// Whether the attempt is complete.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// Takes an event and says what to do, in order.
+    /// Handles an event and returns the actions to take, in order.
     pub fn step(&mut self, event: AttemptEvent, now: Millis) -> Vec<AttemptAction> {
         match (self.phase, event) {
             (Phase::New, AttemptEvent::Start) => {
-                self.began = Some(now);
-                self.ask()
+                self.started_at = Some(now);
+                self.append_begun()
             }
             (Phase::New, AttemptEvent::Known(verdict))
-            | (Phase::Asked, AttemptEvent::Judged(verdict)) => self.on_verdict(verdict),
-            (Phase::Asked, AttemptEvent::Deadline) => self.give_up(),
-            (Phase::GivenUp, AttemptEvent::Judged(verdict)) => self.on_late_verdict(&verdict),
+            | (Phase::AwaitingVerdict, AttemptEvent::Judged(verdict)) => self.on_verdict(verdict),
+            (Phase::AwaitingVerdict, AttemptEvent::Deadline) => self.abandon(),
+            (Phase::Abandoned, AttemptEvent::Judged(verdict)) => self.on_late_verdict(&verdict),
             (Phase::Sending, AttemptEvent::Sent(end)) => self.on_sent(end),
-            (Phase::Sending, AttemptEvent::Deadline) => self.lose(ErrorKind::TimedOut),
+            (Phase::Sending, AttemptEvent::Deadline) => self.fail_unknown(ErrorKind::TimedOut),
             (Phase::Watching, AttemptEvent::OtherFinished(answer)) => self.answer(answer, true),
-            (Phase::Watching, AttemptEvent::OtherAbandoned) => self.ask(),
+            (Phase::Watching, AttemptEvent::OtherAbandoned) => self.append_begun(),
             (Phase::Watching, AttemptEvent::OtherLost | AttemptEvent::Deadline) => {
                 self.fail(ErrorKind::OutcomeUnknown)
             }
@@ -135,8 +135,8 @@
         }
     }
 
-    fn ask(&mut self) -> Vec<AttemptAction> {
-        self.phase = Phase::Asked;
+    fn append_begun(&mut self) -> Vec<AttemptAction> {
+        self.phase = Phase::AwaitingVerdict;
         let begun = OnceBody::Begun {
             key: self.key.clone(),
             attempt: self.id,
@@ -170,20 +170,20 @@
         }
     }
 
-    /// The caller is told at once that it was not run. So that this stays true, the
-    /// attempt is dead from here on, also if its `begun` lands later.
-    fn give_up(&mut self) -> Vec<AttemptAction> {
-        self.phase = Phase::GivenUp;
+    /// Reports immediately to the caller that the request did not run. To keep this true, the
+    /// attempt must never be sent, even if its `begun` record is appended later.
+    fn abandon(&mut self) -> Vec<AttemptAction> {
+        self.phase = Phase::Abandoned;
         vec![
             AttemptAction::Fail(ErrorKind::LogUnavailable),
-            AttemptAction::Append(self.abandoned()),
+            AttemptAction::Append(self.abandoned_record()),
         ]
     }
 
     fn on_late_verdict(&mut self, verdict: &OnceVerdict) -> Vec<AttemptAction> {
         self.phase = Phase::Done;
-        let revived = *verdict == OnceVerdict::Granted && !Safeguard::DeadAttempt.is_active();
-        if revived {
+        let send_late = *verdict == OnceVerdict::Granted && !Safeguard::DeadAttempt.is_active();
+        if send_late {
             self.phase = Phase::Sending;
             return vec![AttemptAction::Send];
         }
@@ -196,7 +196,7 @@
                 let finished = OnceBody::Finished {
                     key: self.key.clone(),
                     attempt: self.id,
-                    answer: bounded(answer.clone()),
+                    answer: without_large_body(answer.clone()),
                 };
                 let mut actions = self.answer(answer, false);
                 actions.push(AttemptAction::Append(finished));
@@ -204,15 +204,15 @@
             }
             SendOutcome::NotSent => {
                 let mut actions = self.fail(ErrorKind::NoUpstream);
-                actions.push(AttemptAction::Append(self.abandoned()));
+                actions.push(AttemptAction::Append(self.abandoned_record()));
                 actions
             }
-            SendOutcome::Unknown => self.lose(ErrorKind::UpstreamFailed),
+            SendOutcome::Unknown => self.fail_unknown(ErrorKind::UpstreamFailed),
         }
     }
 
-    /// Its end will not be known: whoever repeats it is told so at once.
-    fn lose(&mut self, kind: ErrorKind) -> Vec<AttemptAction> {
+    /// Records that the outcome will never be known, so that repeats fail immediately.
+    fn fail_unknown(&mut self, kind: ErrorKind) -> Vec<AttemptAction> {
         let lost = OnceBody::Lost {
             key: self.key.clone(),
             attempt: self.id,
@@ -222,7 +222,7 @@
         actions
     }
 
-    fn abandoned(&self) -> OnceBody {
+    fn abandoned_record(&self) -> OnceBody {
         OnceBody::Abandoned {
             key: self.key.clone(),
             attempt: self.id,
@@ -240,7 +240,7 @@
     }
 }
 
-fn bounded(mut answer: KeptAnswer) -> KeptAnswer {
+fn without_large_body(mut answer: KeptAnswer) -> KeptAnswer {
     if answer
         .body
         .as_ref()
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -1,4 +1,4 @@
-//! The replayed journal of one shard.
+//! The journal of one shard, replayed from the log.
 
 use crate::OnceKey;
 use serde::{Deserialize, Serialize};
@@ -6,15 +6,15 @@
 use shaleline_types::{Millis, Offset, RequestId, Safeguard, WriterId};
 use std::collections::BTreeMap;
 
-/// The largest answer that is kept. Of a larger one only the status is.
+/// The largest answer body that is kept. A larger body is dropped from the journal.
 pub const MAX_KEPT_BODY_BYTES: usize = 4_096;
 
-/// What a shard may hold.
+/// The limits of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnceLimits {
-    /// How many keys; a further one is refused, never an old one forgotten early.
+    /// The maximum number of keys. Further keys are refused; a key is never dropped early.
     pub keys: usize,
-    /// How long a key is kept after it was begun.
+    /// How long a key is kept after its first record.
     pub window: Millis,
 }
 
@@ -27,31 +27,31 @@
     }
 }
 
-/// An upstream's answer as it is kept for repeats.
+/// An upstream's answer, kept for repeated requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub mime: String,
-    /// The body; `None` where it was larger than [`MAX_KEPT_BODY_BYTES`].
+    /// The body; `None` if it was larger than [`MAX_KEPT_BODY_BYTES`].
     pub body: Option<String>,
 }
 
-/// What a record says about a key.
+/// The body of a journal record, which concerns one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OnceBody {
-    /// Asks for the permission to send.
+    /// Requests permission to send.
     Begun {
         /// The key.
         key: OnceKey,
-        /// The attempt that asks.
+        /// The attempt that requests permission.
         attempt: RequestId,
-        /// A digest of the request, so that a key can't be used for two.
+        /// A digest of the request, so that a key can't be used for two different requests.
         request: String,
     },
-    /// Says how the upstream answered.
+    /// Records the upstream's answer.
     Finished {
         /// The key.
         key: OnceKey,
@@ -60,64 +60,64 @@
         /// The answer.
         answer: KeptAnswer,
     },
-    /// Says that an attempt was sent and its end will never be known.
+    /// Records that an attempt was sent and its outcome will never be known.
     Lost {
         /// The key.
         key: OnceKey,
         /// The attempt that was sent.
         attempt: RequestId,
     },
-    /// Says that an attempt was not sent and never will be.
+    /// Records that an attempt was not sent and never will be.
     Abandoned {
         /// The key.
         key: OnceKey,
-        /// The attempt that was given up.
+        /// The attempt that was abandoned.
         attempt: RequestId,
     },
 }
 
-/// What is known of a key.
+/// The state of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyState {
-    /// An attempt holds the permission; its end is not known.
+    /// An attempt has permission to send; its outcome is not known yet.
     Begun {
-        /// Who holds it.
+        /// The process that has permission.
         writer: WriterId,
         /// The attempt.
         attempt: RequestId,
     },
-    /// It ran and this was the answer.
+    /// The request ran and this was its answer.
     Finished(KeptAnswer),
-    /// It may have run; that will never be known, and it will not run again.
+    /// The request may have run. The outcome will never be known, and it will not run again.
     Lost,
-    /// Nothing was sent; a fresh attempt may begin.
+    /// Nothing was sent; a new attempt may begin.
     Free,
 }
 
-/// The verdict on a record.
+/// The verdict of the replay on a journal record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OnceVerdict {
-    /// The attempt may send, once.
+    /// The attempt may send the request, once.
     Granted,
     /// Another attempt holds the key.
     InProgress {
-        /// Who holds it.
+        /// The process of that attempt.
         writer: WriterId,
     },
-    /// It has run already.
+    /// The request has already run, with this answer.
     Finished(KeptAnswer),
-    /// It may have run already.
+    /// The request may already have run.
     Lost,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
     /// The journal is full.
     Full,
-    /// The attempt was given up before its `begun` landed.
+    /// The attempt was abandoned before its `begun` record was appended.
     Abandoned,
-    /// Noted.
+    /// The record took effect.
     Recorded,
-    /// Without effect.
+    /// The record has no effect.
     NoEffect,
 }
 
@@ -128,10 +128,11 @@
     time: Millis,
     offset: Offset,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    dead: Vec<(WriterId, RequestId)>,
+    #[serde(rename = "dead")]
+    abandoned: Vec<(WriterId, RequestId)>,
 }
 
-/// The journal of one shard.
+/// The journal of one shard, with the state of every key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OnceMachine {
     limits: OnceLimits,
@@ -140,40 +141,40 @@
 }
 
 impl OnceMachine {
-    /// What is known of a key.
+    /// The state of a key, if the journal has it.
     #[must_use]
     pub fn get(&self, key: &OnceKey) -> Option<&KeyState> {
         self.keys.get(key).map(|e| &e.state)
     }
 
-    /// What a `begun` for this request would be answered, where that is settled without
-    /// one: repeats of a known key cost no append.
+    /// The verdict that a `begun` record for this request would get, if the state of the key
+    /// already determines it. Repeats of a known key therefore need no append.
     #[must_use]
     pub fn known(&self, key: &OnceKey, request: &str) -> Option<OnceVerdict> {
         let entry = self.keys.get(key)?;
-        let other = !entry.request.is_empty() && entry.request != request;
+        let mismatch = !entry.request.is_empty() && entry.request != request;
         match &entry.state {
             KeyState::Free => None,
-            _ if other => Some(OnceVerdict::Mismatch),
+            _ if mismatch => Some(OnceVerdict::Mismatch),
             KeyState::Begun { writer, .. } => Some(OnceVerdict::InProgress { writer: *writer }),
             KeyState::Finished(answer) => Some(OnceVerdict::Finished(answer.clone())),
             KeyState::Lost => Some(OnceVerdict::Lost),
         }
     }
 
-    /// How many keys are held.
+    /// The number of keys in the journal.
     #[must_use]
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is held.
+    /// Whether the journal has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Drops the keys whose window has passed. Only time in the log counts, so every
+    /// Drops the keys whose window has passed. This uses only the time in the log, so that every
     /// reader drops the same keys at the same record.
     fn expire(&mut self, time: Millis) {
         while let Some(oldest) = self.by_age.first_entry() {
@@ -193,7 +194,7 @@
             request: request.to_owned(),
             time: at.time,
             offset: at.offset,
-            dead: Vec::new(),
+            abandoned: Vec::new(),
         };
         self.keys.insert(key.clone(), entry);
         self.by_age.insert(at.offset, key.clone());
@@ -217,7 +218,7 @@
             self.insert(at, key, request, begun);
             return OnceVerdict::Granted;
         };
-        if Safeguard::DeadAttempt.is_active() && entry.dead.contains(&(at.writer, attempt)) {
+        if Safeguard::DeadAttempt.is_active() && entry.abandoned.contains(&(at.writer, attempt)) {
             return OnceVerdict::Abandoned;
         }
         if entry.state == KeyState::Free {
@@ -259,7 +260,7 @@
         let Some(entry) = self.keys.get_mut(key) else {
             return OnceVerdict::NoEffect;
         };
-        entry.dead.push((at.writer, attempt));
+        entry.abandoned.push((at.writer, attempt));
         let own = KeyState::Begun {
             writer: at.writer,
             attempt,
@@ -293,8 +294,8 @@
         }
     }
 
-    /// The permission to send is still this attempt's if the key's state says so: whoever
-    /// holds it has not been told yet, so it has not been used.
+    /// Grants permission if the key's state is this attempt's `begun`: the attempt has not yet
+    /// received its verdict, so it has not sent the request.
     fn recover_verdict(&self, writer: WriterId, body: &OnceBody) -> OnceVerdict {
         let OnceBody::Begun {
             key,
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,11 +1,11 @@
 //! The at-most-once journal.
 //!
-//! A keyed request may be sent to its upstream only by whoever's `begun` record the
-//! replay of the key's stream grants ([`OnceMachine`]). [`Attempt`] decides, at the
-//! daemon that serves the request, what to do as verdicts and upstream answers come.
-//! Two daemons that both believe to be responsible are settled by the order of the log.
-//! What is known of a key's end is kept and given to repeats; what is not known is
-//! answered as unknown and never run again. See `docs/AT-MOST-ONCE.md`.
+//! A daemon may send a keyed request to its upstream only if the replay of the key's stream
+//! grants the daemon's `begun` record ([`OnceMachine`]). [`Attempt`] decides, at the daemon that
+//! serves the request, how to react to verdicts and upstream answers. If two daemons attempt the
+//! same key, the order of the log decides. A known outcome is kept and returned to repeated
+//! requests; a request with an unknown outcome is reported as unknown and never run again. See
+//! `docs/AT-MOST-ONCE.md`.
 
 mod attempt;
 mod journal;
--- a/crates/once/tests/once.rs
+++ b/crates/once/tests/once.rs
@@ -1,4 +1,4 @@
-//! At most once.
+//! Tests of the at-most-once journal and of attempts at keyed requests.
 
 use shaleline_log::{Position, StateMachine};
 use shaleline_once::{
@@ -24,11 +24,11 @@
     }
 }
 
-fn put(machine: &mut OnceMachine, offset: u64, writer: u64, body: &OnceBody) -> OnceVerdict {
-    put_at(machine, offset, offset, writer, body)
+fn apply(machine: &mut OnceMachine, offset: u64, writer: u64, body: &OnceBody) -> OnceVerdict {
+    apply_at(machine, offset, offset, writer, body)
 }
 
-fn put_at(
+fn apply_at(
     machine: &mut OnceMachine,
     offset: u64,
     time: u64,
@@ -67,21 +67,27 @@
 }
 
 #[test]
-fn of_two_daemons_that_begin_one_is_granted() {
+fn only_one_of_two_daemons_that_begin_is_granted() {
     let mut m = OnceMachine::default();
-    assert_eq!(put(&mut m, 0, 1, &begun("k", 1, "r")), OnceVerdict::Granted);
+    assert_eq!(
+        apply(&mut m, 0, 1, &begun("k", 1, "r")),
+        OnceVerdict::Granted
+    );
     let taken = OnceVerdict::InProgress {
         writer: WriterId(1),
     };
-    assert_eq!(put(&mut m, 1, 2, &begun("k", 1, "r")), taken);
+    assert_eq!(apply(&mut m, 1, 2, &begun("k", 1, "r")), taken);
     assert_eq!(
-        put(&mut m, 2, 2, &finished("k", 1)),
+        apply(&mut m, 2, 2, &finished("k", 1)),
         OnceVerdict::NoEffect,
         "it did not send"
     );
-    assert_eq!(put(&mut m, 3, 1, &finished("k", 1)), OnceVerdict::Recorded);
     assert_eq!(
-        put(&mut m, 4, 2, &begun("k", 2, "r")),
+        apply(&mut m, 3, 1, &finished("k", 1)),
+        OnceVerdict::Recorded
+    );
+    assert_eq!(
+        apply(&mut m, 4, 2, &begun("k", 2, "r")),
         OnceVerdict::Finished(answer("done"))
     );
 }
@@ -89,36 +95,42 @@
 #[test]
 fn a_key_used_for_another_request_is_refused() {
     let mut m = OnceMachine::default();
-    put(&mut m, 0, 1, &begun("k", 1, "r"));
+    apply(&mut m, 0, 1, &begun("k", 1, "r"));
     assert_eq!(
-        put(&mut m, 1, 1, &begun("k", 2, "other")),
+        apply(&mut m, 1, 1, &begun("k", 2, "other")),
         OnceVerdict::Mismatch
     );
     assert_eq!(m.known(&key("k"), "other"), Some(OnceVerdict::Mismatch));
 }
 
 #[test]
-fn an_abandoned_key_may_begin_afresh_but_not_by_the_dead_attempt() {
+fn an_abandoned_key_may_begin_again_but_not_by_the_abandoned_attempt() {
     let mut m = OnceMachine::default();
-    put(&mut m, 0, 1, &begun("k", 1, "r"));
-    assert_eq!(put(&mut m, 1, 1, &abandoned("k", 1)), OnceVerdict::Recorded);
+    apply(&mut m, 0, 1, &begun("k", 1, "r"));
     assert_eq!(
-        put(&mut m, 2, 1, &begun("k", 1, "r")),
+        apply(&mut m, 1, 1, &abandoned("k", 1)),
+        OnceVerdict::Recorded
+    );
+    assert_eq!(
+        apply(&mut m, 2, 1, &begun("k", 1, "r")),
         OnceVerdict::Abandoned
     );
     assert_eq!(
-        put(&mut m, 3, 2, &begun("k", 1, "r")),
+        apply(&mut m, 3, 2, &begun("k", 1, "r")),
         OnceVerdict::Granted,
-        "another's attempt"
+        "an attempt of another daemon"
     );
 }
 
 #[test]
-fn an_abandonment_that_lands_first_keeps_the_attempt_dead() {
+fn an_attempt_abandoned_before_its_begun_record_is_never_granted() {
     let mut m = OnceMachine::default();
-    assert_eq!(put(&mut m, 0, 1, &abandoned("k", 1)), OnceVerdict::Recorded);
     assert_eq!(
-        put(&mut m, 1, 1, &begun("k", 1, "r")),
+        apply(&mut m, 0, 1, &abandoned("k", 1)),
+        OnceVerdict::Recorded
+    );
+    assert_eq!(
+        apply(&mut m, 1, 1, &begun("k", 1, "r")),
         OnceVerdict::Abandoned
     );
     assert_eq!(m.get(&key("k")), Some(&KeyState::Free));
@@ -127,50 +139,50 @@
 #[test]
 fn a_lost_attempt_is_never_run_again() {
     let mut m = OnceMachine::default();
-    put(&mut m, 0, 1, &begun("k", 1, "r"));
+    apply(&mut m, 0, 1, &begun("k", 1, "r"));
     let lost = OnceBody::Lost {
         key: key("k"),
         attempt: RequestId(1),
     };
-    assert_eq!(put(&mut m, 1, 1, &lost), OnceVerdict::Recorded);
-    assert_eq!(put(&mut m, 2, 2, &begun("k", 2, "r")), OnceVerdict::Lost);
+    assert_eq!(apply(&mut m, 1, 1, &lost), OnceVerdict::Recorded);
+    assert_eq!(apply(&mut m, 2, 2, &begun("k", 2, "r")), OnceVerdict::Lost);
 }
 
 #[test]
-fn a_key_is_kept_for_its_window_and_then_forgotten() {
+fn a_key_is_kept_for_its_window_and_then_dropped() {
     const DAY: u64 = 24 * 3_600_000;
     let mut m = OnceMachine::default();
-    put_at(&mut m, 0, 1_000, 1, &begun("k", 1, "r"));
-    put_at(&mut m, 1, DAY, 1, &begun("other", 2, "r"));
+    apply_at(&mut m, 0, 1_000, 1, &begun("k", 1, "r"));
+    apply_at(&mut m, 1, DAY, 1, &begun("other", 2, "r"));
     assert_eq!(m.len(), 2);
-    put_at(&mut m, 2, DAY + 1_000, 1, &begun("third", 3, "r"));
+    apply_at(&mut m, 2, DAY + 1_000, 1, &begun("third", 3, "r"));
     assert_eq!(m.get(&key("k")), None);
     assert_eq!(m.len(), 2);
 }
 
 #[test]
-fn a_full_journal_refuses_rather_than_forgets() {
+fn a_full_journal_refuses_new_keys_and_drops_none() {
     let mut m = OnceMachine::default();
-    let most = 50_000;
-    for i in 0..most {
+    let max_keys = 50_000;
+    for i in 0..max_keys {
         assert_eq!(
-            put_at(&mut m, i, 1, 1, &begun(&i.to_string(), i, "r")),
+            apply_at(&mut m, i, 1, 1, &begun(&i.to_string(), i, "r")),
             OnceVerdict::Granted
         );
     }
     assert_eq!(
-        put_at(&mut m, most, 1, 1, &begun("more", most, "r")),
+        apply_at(&mut m, max_keys, 1, 1, &begun("more", max_keys, "r")),
         OnceVerdict::Full
     );
     assert!(m.get(&key("0")).is_some());
 }
 
-fn kinds(events: Vec<AttemptEvent>) -> Vec<String> {
+fn actions_for(events: Vec<AttemptEvent>) -> Vec<String> {
     let mut attempt = Attempt::new(key("k"), RequestId(1), "r".to_owned());
-    let mut seen = Vec::new();
+    let mut actions = Vec::new();
     for event in events {
         for action in attempt.step(event, Millis(0)) {
-            seen.push(match action {
+            actions.push(match action {
                 AttemptAction::Append(OnceBody::Begun { .. }) => "begun".to_owned(),
                 AttemptAction::Append(OnceBody::Finished { .. }) => "finished".to_owned(),
                 AttemptAction::Append(OnceBody::Lost { .. }) => "lost".to_owned(),
@@ -182,7 +194,7 @@
             });
         }
     }
-    seen
+    actions
 }
 
 fn granted() -> AttemptEvent {
@@ -195,8 +207,8 @@
     })
 }
 
-cases! { kinds;
-    a_call_that_goes_well: vec![
+cases! { actions_for;
+    an_answered_call: vec![
         AttemptEvent::Start, granted(), AttemptEvent::Sent(SendOutcome::Answered(answer("a"))),
     ] => ["begun", "send", "answer kept=false", "finished"],
     a_call_that_was_not_sent: vec![
@@ -205,7 +217,7 @@
     a_call_whose_answer_is_lost: vec![
         AttemptEvent::Start, granted(), AttemptEvent::Sent(SendOutcome::Unknown),
     ] => ["begun", "send", "fail upstream-failed", "lost"],
-    a_call_given_up_while_begun_is_on_its_way_never_sends: vec![
+    a_call_abandoned_while_begun_is_in_flight_is_never_sent: vec![
         AttemptEvent::Start, AttemptEvent::Deadline, granted(),
     ] => ["begun", "fail log-unavailable", "abandoned"],
     a_repeat_of_a_finished_call: vec![
@@ -214,10 +226,10 @@
     a_repeat_during_the_run: vec![
         AttemptEvent::Start, taken(), AttemptEvent::OtherFinished(answer("a")),
     ] => ["begun", "watch", "answer kept=true"],
-    a_repeat_after_the_other_gave_up: vec![
+    a_repeat_after_the_other_attempt_was_abandoned: vec![
         AttemptEvent::Start, taken(), AttemptEvent::OtherAbandoned, granted(),
     ] => ["begun", "watch", "begun", "send"],
-    a_repeat_whose_holder_died: vec![
+    a_repeat_whose_holder_failed: vec![
         AttemptEvent::Start, taken(), AttemptEvent::OtherLost,
     ] => ["begun", "watch", "fail outcome-unknown"],
     a_late_answer_after_the_end_is_dropped: vec![
@@ -227,7 +239,7 @@
 }
 
 #[test]
-fn an_answer_too_large_to_keep_is_given_once_and_noted_without_its_body() {
+fn an_answer_too_large_to_keep_is_returned_once_and_recorded_without_its_body() {
     let mut attempt = Attempt::new(key("k"), RequestId(1), "r".to_owned());
     attempt.step(AttemptEvent::Start, Millis(0));
     attempt.step(granted(), Millis(0));
@@ -254,7 +266,7 @@
 }
 
 #[test]
-fn keys_of_two_organisations_never_meet() {
+fn keys_of_two_organisations_differ() {
     let other = Org::from_text("p").expect("a valid name");
     assert_ne!(
         key("k"),
