--- a/crates/log/src/budget.rs
+++ b/crates/log/src/budget.rs
@@ -1,44 +1,44 @@
-//! One daemon's part of the appends that the log accepts.
+//! One daemon's share of the append rate of the log.
 
 use shaleline_types::Millis;
 
 const BURST_MS: u64 = 1_000;
 
-/// A token bucket in thousandths of an append. The log's rate is divided by the number
-/// of live daemons, so that the sum holds without asking anybody.
+/// A token bucket that counts in thousandths of an append. Each daemon gets the log's rate divided
+/// by the number of live daemons, so that the total is bounded without coordination.
 #[derive(Debug, Clone)]
 pub struct AppendBudget {
     rate: u64,
-    level: u64,
+    available: u64,
     last: Millis,
 }
 
 impl AppendBudget {
-    /// A full bucket that refills by `per_second` appends a second.
+    /// Creates a full bucket that refills at `per_second` appends per second.
     #[must_use]
     pub fn new(per_second: u64, now: Millis) -> Self {
         let rate = per_second.max(1);
         Self {
             rate,
-            level: rate * BURST_MS,
+            available: rate * BURST_MS,
             last: now,
         }
     }
 
-    /// Changes the rate when daemons come or go.
+    /// Changes the refill rate, for example when a daemon joins or leaves.
     pub fn set_rate(&mut self, per_second: u64) {
         self.rate = per_second.max(1);
     }
 
-    /// Takes one append if the budget allows it now.
+    /// Consumes one append if the budget allows it now, and returns whether it did.
     pub fn try_take(&mut self, now: Millis) -> bool {
         let gained = now.since(self.last).saturating_mul(self.rate);
         self.last = self.last.max(now);
-        self.level = (self.level + gained).min(self.rate * BURST_MS);
-        if self.level < 1_000 {
+        self.available = (self.available + gained).min(self.rate * BURST_MS);
+        if self.available < 1_000 {
             return false;
         }
-        self.level -= 1_000;
+        self.available -= 1_000;
         true
     }
 }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,15 +1,14 @@
-//! The platform's append-only log, as the only arbiter.
+//! The client of the platform's append-only log, whose order decides all conflicts.
 //!
-//! * [`LogService`] is the border to the platform: append, read, and what may go wrong.
-//! * [`StateMachine`] is a state that is replayed from a stream of the log. Whether a record
-//!   is valid is decided by the replay at its offset, so every reader agrees.
-//! * [`Replica`] drives a machine: it forms batches within an [`AppendBudget`], repeats an
-//!   append whose answer was lost under the same identity, applies what it reads in
-//!   offset order and hands each writer the verdict on its own records.
-//! * [`Snapshot`] carries a machine's state past the log's retention.
+//! * [`LogService`] is the interface to the platform's log: append, read and their failures.
+//! * [`StateMachine`] is a state that is replayed from a stream of the log. The replay decides
+//!   at a record's offset whether the record is valid, so that all readers agree.
+//! * [`Replica`] drives a state machine: it forms batches within an [`AppendBudget`], repeats an
+//!   append whose answer was lost under the same identity, applies the records that it reads in
+//!   offset order and returns to each writer the verdicts on its own records.
+//! * [`Snapshot`] preserves a state machine's state beyond the log's retention.
 //!
-//! Nothing in this crate reads a clock or a socket. The ways that were weighed are in
-//! `docs/LOG.md`.
+//! Nothing in this crate reads a clock or a socket. `docs/LOG.md` compares the alternatives.
 
 mod budget;
 mod record;
--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -1,4 +1,4 @@
-//! Drives a machine from the log: batches, repeats, replay, verdicts.
+//! Drives a state machine from the log: batches, repeated appends, replay and verdicts.
 
 use crate::{
     AppendBudget, AppendOutcome, Identity, Priority, ReadBatch, Record, Snapshot, State,
@@ -9,96 +9,102 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-const MAX_BATCH: usize = 128;
-const RETRY_AFTER: u64 = 200;
-const RETRY_LIMIT: u64 = 5_000;
+const MAX_BATCH_RECORDS: usize = 128;
+const INITIAL_BACKOFF_MS: u64 = 200;
+const MAX_BACKOFF_MS: u64 = 5_000;
 
-/// Why a replica stopped applying.
+/// The reason why a replica stopped applying records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Halt {
-    /// A record of this newer version.
+    /// A record has this version, which is newer than supported.
     Newer(u16),
-    /// A record that does not parse.
+    /// A record does not parse.
     Malformed,
     /// An invariant did not hold while a record was applied.
     Broken,
-    /// The records from the offset on were dropped before they were read.
+    /// The records from this offset on were dropped before they were read.
     Gap(Offset),
 }
 
 impl fmt::Display for Halt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Newer(v) => write!(f, "a record of version {v} is newer than this build"),
+            Self::Newer(v) => write!(
+                f,
+                "a record has version {v}, which is newer than this build supports"
+            ),
             Self::Broken => f.write_str("an invariant did not hold"),
-            Self::Malformed => f.write_str("a record can't be read"),
-            Self::Gap(from) => write!(f, "the log no longer has the records from {from} on"),
+            Self::Malformed => f.write_str("a record is malformed"),
+            Self::Gap(from) => write!(
+                f,
+                "the log no longer retains the records from offset {from} on"
+            ),
         }
     }
 }
 
-/// Names one submitted record within its replica.
+/// Identifies a submitted record within its replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
-/// A submitted record that has been replayed.
+/// The verdict on a submitted record that has been replayed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Committed<V> {
     /// The record's ticket.
     pub ticket: Ticket,
-    /// Where it stands.
+    /// The record's offset.
     pub offset: Offset,
-    /// What the replay decided.
+    /// The verdict of the replay.
     pub verdict: V,
 }
 
-/// A record on its way.
-struct OnWay<B> {
+/// A record in flight.
+struct InFlightRecord<B> {
     text: String,
     ticket: Ticket,
     body: B,
 }
 
-struct Flight<B> {
-    records: Vec<OnWay<B>>,
+struct InFlightBatch<B> {
+    records: Vec<InFlightRecord<B>>,
     first_seq: u64,
-    calling: bool,
+    append_running: bool,
     retry_at: Millis,
     backoff: u64,
 }
 
-/// A machine, its stream's position, and this process's records on their way.
+/// A state machine, its position in the stream and this process's records in flight.
 ///
-/// One batch is on its way at a time, and the next is formed only once the last one was
-/// read back. So a writer's records land in order, and one number per writer is enough
-/// to know a repeat.
+/// Only one batch is in flight at a time, and the next is formed only after the last one was read
+/// back. A writer's records are therefore appended in order, and one sequence number per writer
+/// is enough to detect duplicates.
 pub struct Replica<M: StateMachine> {
     writer: WriterId,
     seq: u64,
-    tickets: u64,
+    last_ticket: u64,
     state: State<M>,
     queue: BTreeMap<(Priority, Ticket), M::Body>,
-    flight: Option<Flight<M::Body>>,
-    /// The records of the flight whose verdict is known.
+    in_flight: Option<InFlightBatch<M::Body>>,
+    /// The records in flight whose verdict is known.
     resolved: BTreeSet<Ticket>,
-    done: Vec<Committed<M::Verdict>>,
+    committed: Vec<Committed<M::Verdict>>,
     halt: Option<Halt>,
     snapshot_offset: Offset,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// A replica at the start of its stream.
+    /// Creates a replica at the start of its stream.
     #[must_use]
     pub fn new(writer: WriterId) -> Self {
         Self {
             writer,
             seq: 0,
-            tickets: 0,
+            last_ticket: 0,
             state: State::default(),
             queue: BTreeMap::new(),
-            flight: None,
+            in_flight: None,
             resolved: BTreeSet::new(),
-            done: Vec::new(),
+            committed: Vec::new(),
             halt: None,
             snapshot_offset: Offset(0),
         }
@@ -110,7 +116,7 @@
         &self.state
     }
 
-    /// The machine.
+    /// The state machine.
     #[must_use]
     pub fn machine(&self) -> &M {
         self.state.machine()
@@ -122,70 +128,71 @@
         self.state.next()
     }
 
-    /// Why the replica stopped, if it did.
+    /// The reason why the replica stopped, if it did.
     #[must_use]
     pub fn halt(&self) -> Option<Halt> {
         self.halt
     }
 
-    /// How many records wait or are on their way.
+    /// The number of records that are queued or in flight.
     #[must_use]
     pub fn pending(&self) -> usize {
-        self.queue.len() + self.flight.as_ref().map_or(0, |f| f.records.len())
+        self.queue.len() + self.in_flight.as_ref().map_or(0, |f| f.records.len())
     }
 
-    /// Up to where the newest snapshot known reaches.
+    /// The offset up to which the newest known snapshot covers the stream.
     #[must_use]
     pub fn snapshot_offset(&self) -> Offset {
         self.snapshot_offset
     }
 
-    /// Notes that a snapshot reaches to `covers`.
+    /// Records that there is a snapshot up to `covers`.
     pub fn record_snapshot(&mut self, covers: Offset) {
         self.snapshot_offset = self.snapshot_offset.max(covers);
     }
 
-    /// Queues a record; the verdict comes through [`Replica::take_committed`].
+    /// Queues a record. Its verdict is returned by [`Replica::take_committed`].
     pub fn submit(&mut self, priority: Priority, body: M::Body) -> Ticket {
-        self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
         self.queue.insert((priority, ticket), body);
         ticket
     }
 
-    /// Takes back a record that has not left yet. `false` means that it may land.
+    /// Removes a record that is still queued. Returns `false` if it has left the queue and may be
+    /// appended.
     pub fn withdraw(&mut self, priority: Priority, ticket: Ticket) -> bool {
         self.queue.remove(&(priority, ticket)).is_some()
     }
 
-    /// The batch to append now, if any. The caller must report through
-    /// [`Replica::on_append`] before it asks again.
+    /// The batch to append now, if any. The caller must report the outcome to
+    /// [`Replica::on_append`] before it calls this again.
     pub fn next_append(
         &mut self,
         now: Millis,
         wall: Millis,
         budget: &mut AppendBudget,
     ) -> Option<Vec<String>> {
-        let idle = self.flight.is_none() && self.queue.is_empty();
+        let idle = self.in_flight.is_none() && self.queue.is_empty();
         if idle || self.halt.is_some() {
             return None;
         }
-        let waits = |f: &Flight<M::Body>| f.calling || now < f.retry_at;
-        if self.flight.as_ref().is_some_and(waits) || !budget.try_take(now) {
+        let waits = |f: &InFlightBatch<M::Body>| f.append_running || now < f.retry_at;
+        if self.in_flight.as_ref().is_some_and(waits) || !budget.try_take(now) {
             return None;
         }
-        if self.flight.is_none() {
-            self.flight = Some(self.form_batch(wall));
+        if self.in_flight.is_none() {
+            self.in_flight = Some(self.form_batch(wall));
         }
-        let flight = self.flight.as_mut()?;
-        flight.calling = true;
-        Some(flight.records.iter().map(|r| r.text.clone()).collect())
+        let batch = self.in_flight.as_mut()?;
+        batch.append_running = true;
+        Some(batch.records.iter().map(|r| r.text.clone()).collect())
     }
 
-    fn form_batch(&mut self, wall: Millis) -> Flight<M::Body> {
+    fn form_batch(&mut self, wall: Millis) -> InFlightBatch<M::Body> {
         let first_seq = self.seq + 1;
         let mut records = Vec::new();
-        while records.len() < MAX_BATCH {
+        while records.len() < MAX_BATCH_RECORDS {
             let Some(((_, ticket), body)) = self.queue.pop_first() else {
                 break;
             };
@@ -200,32 +207,32 @@
                 at: wall,
                 body,
             };
-            records.push(OnWay {
+            records.push(InFlightRecord {
                 text: serde_json::to_string(&record).expect("records serialize"),
                 ticket,
                 body: record.body,
             });
         }
-        Flight {
+        InFlightBatch {
             records,
             first_seq,
-            calling: false,
+            append_running: false,
             retry_at: Millis(0),
-            backoff: RETRY_AFTER,
+            backoff: INITIAL_BACKOFF_MS,
         }
     }
 
-    /// Reports how the last append ended. Without an answer it is repeated under the
-    /// same identity until it is read back.
+    /// Handles the outcome of the last append. The batch is appended again under the same
+    /// identities, with exponential backoff, until it is read back.
     pub fn on_append(&mut self, now: Millis, result: AppendOutcome) {
-        let Some(flight) = self.flight.as_mut() else {
+        let Some(batch) = self.in_flight.as_mut() else {
             return;
         };
-        flight.calling = false;
-        flight.retry_at = now.plus(flight.backoff);
-        flight.backoff = (flight.backoff * 2).min(RETRY_LIMIT);
+        batch.append_running = false;
+        batch.retry_at = now.plus(batch.backoff);
+        batch.backoff = (batch.backoff * 2).min(MAX_BACKOFF_MS);
         if result == AppendOutcome::At(self.state.next()) {
-            let texts: Vec<String> = flight.records.iter().map(|r| r.text.clone()).collect();
+            let texts: Vec<String> = batch.records.iter().map(|r| r.text.clone()).collect();
             for text in texts {
                 if self.apply(&text).is_err() {
                     return;
@@ -234,10 +241,10 @@
         }
     }
 
-    /// Applies what was read. Records already applied are passed over.
+    /// Applies the records that were read. Records that were already applied are skipped.
     ///
     /// # Errors
-    /// The [`Halt`] that stopped the replica, now or earlier.
+    /// The [`Halt`] that stopped the replica, in this call or earlier.
     pub fn on_read(&mut self, batch: &ReadBatch) -> Result<(), Halt> {
         if let Some(halt) = self.halt {
             return Err(halt);
@@ -260,7 +267,7 @@
     fn apply(&mut self, text: &str) -> Result<(), Halt> {
         let offset = self.next();
         match self.state.apply(text) {
-            Ok(Some(done)) => self.resolve(done.id, offset, done.verdict),
+            Ok(Some(applied)) => self.resolve(applied.id, offset, applied.verdict),
             Ok(None) => {}
             Err(halt) => return self.stop(halt),
         }
@@ -272,7 +279,7 @@
         Err(halt)
     }
 
-    /// Stops for good: an invariant did not hold while a record was applied.
+    /// Stops permanently because an invariant did not hold while a record was applied.
     pub fn halt_broken(&mut self) -> Halt {
         self.halt = Some(Halt::Broken);
         Halt::Broken
@@ -282,40 +289,40 @@
         if id.writer != self.writer {
             return;
         }
-        let Some(flight) = self.flight.as_ref() else {
+        let Some(batch) = self.in_flight.as_ref() else {
             return;
         };
-        let Some(index) = id.seq.checked_sub(flight.first_seq) else {
+        let Some(index) = id.seq.checked_sub(batch.first_seq) else {
             return;
         };
-        let Some(record) = flight.records.get(index as usize) else {
+        let Some(record) = batch.records.get(index as usize) else {
             return;
         };
-        self.done.push(Committed {
+        self.committed.push(Committed {
             ticket: record.ticket,
             offset,
             verdict,
         });
         self.resolved.insert(record.ticket);
-        if index as usize + 1 == flight.records.len() {
-            self.flight = None;
+        if index as usize + 1 == batch.records.len() {
+            self.in_flight = None;
             self.resolved.clear();
         }
     }
 
-    /// Settles those records on their way that the restored state holds already. Nothing
-    /// will ever be read back for them.
-    fn recall_flight(&mut self) {
+    /// Resolves the records in flight that the restored state already includes, because they will
+    /// never be read back.
+    fn resolve_restored(&mut self) {
         let last = self.state.last_seq(self.writer);
-        let Some(flight) = self.flight.as_ref() else {
+        let Some(batch) = self.in_flight.as_ref() else {
             return;
         };
-        let landed = (last + 1).saturating_sub(flight.first_seq) as usize;
-        for record in flight.records.iter().take(landed) {
+        let included = (last + 1).saturating_sub(batch.first_seq) as usize;
+        for record in batch.records.iter().take(included) {
             if self.resolved.contains(&record.ticket) {
                 continue;
             }
-            self.done.push(Committed {
+            self.committed.push(Committed {
                 ticket: record.ticket,
                 offset: self.state.next(),
                 verdict: self
@@ -325,33 +332,33 @@
             });
             self.resolved.insert(record.ticket);
         }
-        if landed >= flight.records.len() {
-            self.flight = None;
+        if included >= batch.records.len() {
+            self.in_flight = None;
             self.resolved.clear();
         }
     }
 
-    /// The verdicts that have come since the last call.
+    /// Returns the verdicts that have become known since the last call.
     pub fn take_committed(&mut self) -> Vec<Committed<M::Verdict>> {
-        std::mem::take(&mut self.done)
+        std::mem::take(&mut self.committed)
     }
 
-    /// The state as a snapshot.
+    /// Creates a snapshot of the state.
     #[must_use]
     pub fn to_snapshot(&self) -> Snapshot {
         Snapshot::from_state(&self.state)
     }
 
-    /// Takes a snapshot's state if it reaches further than what has been applied.
-    /// Returns whether it did. A halt by a gap ends if the snapshot reaches beyond it.
+    /// Replaces the state by the snapshot's if the snapshot covers more records, and returns
+    /// whether it did. This also clears a halt by a gap.
     pub fn restore(&mut self, snapshot: &Snapshot) -> bool {
         self.record_snapshot(snapshot.covers());
-        let further = snapshot.covers() > self.next() || !Safeguard::SnapshotChoice.is_active();
-        let Some(state) = snapshot.to_state::<M>().filter(|_| further) else {
+        let is_newer = snapshot.covers() > self.next() || !Safeguard::SnapshotChoice.is_active();
+        let Some(state) = snapshot.to_state::<M>().filter(|_| is_newer) else {
             return false;
         };
         self.state = state;
-        self.recall_flight();
+        self.resolve_restored();
         if matches!(self.halt, Some(Halt::Gap(_))) {
             self.halt = None;
         }
--- a/crates/log/src/service.rs
+++ b/crates/log/src/service.rs
@@ -1,42 +1,42 @@
-//! The border to the platform's log service.
+//! The interface to the platform's log service.
 
 use futures_util::future::LocalBoxFuture;
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Millis, Offset, Stream};
 use std::fmt;
 
-/// How an append ended, as far as the writer can know.
+/// The outcome of an append, as far as the writer can know it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The records stand in the log, the first of them at this offset.
+    /// The records are in the log, the first of them at this offset.
     At(Offset),
-    /// The service refused; the append had and will have no effect.
+    /// The service refused the append, which has had and will have no effect.
     Refused,
-    /// No answer. The append may have taken effect, or may yet.
+    /// There was no answer. The append may have taken effect or may still do so.
     Lost,
 }
 
-/// A record as the log keeps it.
+/// A record as stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
-    /// Its position in the stream.
+    /// The position in the stream.
     pub offset: Offset,
-    /// Its text, as appended.
+    /// The text as appended.
     pub text: String,
 }
 
-/// What a read returns.
+/// The result of a read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadBatch {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log retains.
     pub oldest: Offset,
     /// The offset that the next record will have.
     pub tail: Offset,
-    /// The records from the offset asked for, in order.
+    /// The records from the requested offset on, in order.
     pub records: Vec<StoredRecord>,
 }
 
-/// The log did not answer a read.
+/// The error for a read that the log did not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogError;
 
@@ -48,20 +48,20 @@
 
 impl std::error::Error for LogError {}
 
-/// The platform's log service. An adapter for another dialect implements this trait
-/// and nothing else; see `docs/ARCHITECTURE.md`.
+/// The platform's log service. An adapter for another log protocol only needs to implement this
+/// trait; see `docs/ARCHITECTURE.md`.
 pub trait LogService {
-    /// Appends `records` to `stream` as one contiguous run.
+    /// Appends `records` to `stream` contiguously.
     fn append<'a>(
         &'a self,
         stream: &'a Stream,
         records: &'a [String],
     ) -> LocalBoxFuture<'a, AppendOutcome>;
 
-    /// Reads from `from` on, waiting up to `wait` for a first record.
+    /// Reads from the offset `from` on, waiting up to `wait` for the first record.
     ///
     /// # Errors
-    /// [`LogError`] where the service does not answer.
+    /// [`LogError`] if the service does not answer.
     fn read<'a>(
         &'a self,
         stream: &'a Stream,
--- a/crates/log/src/snapshot.rs
+++ b/crates/log/src/snapshot.rs
@@ -5,11 +5,11 @@
 use shaleline_types::{Offset, Safeguard};
 use std::collections::BTreeMap;
 
-/// The size of a chunk, well under what a log record may hold.
+/// The maximum size of a chunk's text, well below the size limit of a log record.
 pub const CHUNK_BYTES: usize = 48 * 1024;
 
-/// A state as text with the offset it reaches. Two writers that applied the same
-/// records produce the same bytes.
+/// A serialised state and the offset up to which it covers the stream. Two writers that applied
+/// the same records produce the same bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     covers: Offset,
@@ -36,19 +36,19 @@
         }
     }
 
-    /// The offset of the first record that the snapshot does not hold.
+    /// The offset of the first record that the snapshot does not cover.
     #[must_use]
     pub fn covers(&self) -> Offset {
         self.covers
     }
 
-    /// The size in bytes.
+    /// The size of the serialised state in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.text.len()
     }
 
-    /// The state, or `None` where the text is damaged or of another shape.
+    /// Decodes the state; `None` if the text is corrupt or has another format.
     #[must_use]
     pub fn to_state<M: StateMachine>(&self) -> Option<State<M>> {
         if crc32fast::hash(self.text.as_bytes()) != self.crc {
@@ -58,7 +58,7 @@
         (state.next() == self.covers).then_some(state)
     }
 
-    /// The snapshot as records for the snapshot stream.
+    /// Encodes the snapshot as records for the snapshot stream.
     #[must_use]
     pub fn to_chunks(&self) -> Vec<String> {
         let pieces = split(&self.text);
@@ -77,7 +77,7 @@
     }
 }
 
-/// Splits at character borders into pieces of at most [`CHUNK_BYTES`].
+/// Splits a text at character boundaries into pieces of at most [`CHUNK_BYTES`].
 fn split(text: &str) -> Vec<&str> {
     let mut pieces = Vec::new();
     let mut rest = text;
@@ -94,11 +94,11 @@
     pieces
 }
 
-/// Picks the complete, undamaged snapshot that reaches furthest, never the one written
-/// last: a lagging writer's snapshot may land after a fresher one.
+/// Picks the complete, intact snapshot with the highest offset. This need not be the one written
+/// last, because a lagging writer may append its snapshot after a newer one.
 #[must_use]
 pub fn pick_snapshot(records: &[StoredRecord]) -> Option<Snapshot> {
-    let mut found: BTreeMap<(Offset, u32), BTreeMap<usize, Chunk>> = BTreeMap::new();
+    let mut chunks_by_snapshot: BTreeMap<(Offset, u32), BTreeMap<usize, Chunk>> = BTreeMap::new();
     let mut last = None;
     for record in records {
         let Ok(chunk) = serde_json::from_str::<Chunk>(&record.text) else {
@@ -106,12 +106,15 @@
         };
         let key = (chunk.covers, chunk.crc);
         last = Some(key);
-        found.entry(key).or_default().insert(chunk.part, chunk);
+        chunks_by_snapshot
+            .entry(key)
+            .or_default()
+            .insert(chunk.part, chunk);
     }
     if !Safeguard::SnapshotChoice.is_active() {
-        return found.remove(&last?).and_then(assemble);
+        return chunks_by_snapshot.remove(&last?).and_then(assemble);
     }
-    found.into_values().rev().find_map(assemble)
+    chunks_by_snapshot.into_values().rev().find_map(assemble)
 }
 
 fn assemble(chunks: BTreeMap<usize, Chunk>) -> Option<Snapshot> {
--- a/crates/log/src/state.rs
+++ b/crates/log/src/state.rs
@@ -1,4 +1,4 @@
-//! The replayed state of one stream.
+//! The state replayed from one stream.
 
 use crate::record::VersionOnly;
 use crate::{Halt, Identity, Record, RECORD_VERSION};
@@ -7,38 +7,38 @@
 use shaleline_types::{Millis, Offset, Safeguard, WriterId};
 use std::collections::BTreeMap;
 
-/// How many records a silent writer's last identity is remembered for. A lost append
-/// that takes effect later than this is outside of what is promised (`docs/LOG.md`).
-const WRITER_WINDOW: u64 = 200_000;
+/// How many records after its last one a writer is remembered. Duplicates are not detected if a
+/// lost append takes effect later than this (`docs/LOG.md`).
+const WRITER_WINDOW_RECORDS: u64 = 200_000;
 
-/// The largest step that one record's clock may move the stream's time by, so that one
-/// wrong clock can't expire everything at once.
-const MAX_TIME_STEP: u64 = 600_000;
+/// The largest step by which one record's clock may advance the stream's time, so that one wrong
+/// clock can't expire everything at once.
+const MAX_TIME_STEP_MS: u64 = 600_000;
 
-/// Where and when a record stands.
+/// The offset, time and writer of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
     /// The record's offset.
     pub offset: Offset,
-    /// The stream's time: the writers' clocks, never running backwards.
+    /// The stream's time, which is derived from the writers' clocks and never decreases.
     pub time: Millis,
-    /// Who wrote the record.
+    /// The writer of the record.
     pub writer: WriterId,
 }
 
-/// A state that is replayed from a stream. `apply` must be deterministic: it is the
-/// only judge of whether a record is valid.
+/// A state that is replayed from a stream. `apply` must be deterministic, because it alone
+/// decides whether a record is valid.
 pub trait StateMachine: Default + Serialize + DeserializeOwned {
-    /// What its records say.
+    /// The body of the state machine's records.
     type Body: Serialize + DeserializeOwned + Clone;
-    /// What the writer of a record learns.
+    /// The result that the writer of a record receives.
     type Verdict;
 
     /// Applies one record and returns the verdict on it.
     fn apply(&mut self, at: Position, body: &Self::Body) -> Self::Verdict;
 
-    /// The verdict on a record of `writer` that this state holds already, because the
-    /// state came from a snapshot and the record was never applied here.
+    /// The verdict on a record of `writer` that this state already includes, because the state
+    /// was restored from a snapshot and the record was never applied here.
     fn recover_verdict(&self, writer: WriterId, body: &Self::Body) -> Self::Verdict;
 }
 
@@ -54,7 +54,7 @@
     offset: Offset,
 }
 
-/// A machine with all that its replay depends on; the content of a snapshot.
+/// A state machine with everything that its replay depends on. This is the content of a snapshot.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct State<M> {
     next: Offset,
@@ -76,24 +76,24 @@
         self.time
     }
 
-    /// The machine.
+    /// The state machine.
     #[must_use]
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// The last of a writer's records that the state holds.
+    /// The sequence number of the writer's last record in the state, or 0 if there is none.
     pub(crate) fn last_seq(&self, writer: WriterId) -> u64 {
         self.writers.get(&writer).map_or(0, |l| l.seq)
     }
 
-    /// How many writers' identities are remembered.
+    /// The number of writers that are remembered.
     #[must_use]
     pub fn writers(&self) -> usize {
         self.writers.len()
     }
 
-    /// Applies the record at `self.next()`. `None` for a repeated record.
+    /// Applies the record at `self.next()`. Returns `None` for a duplicate record.
     pub(crate) fn apply(&mut self, text: &str) -> Result<Option<Applied<M>>, Halt> {
         let version = serde_json::from_str::<VersionOnly>(text).map_err(|_| Halt::Malformed)?;
         if version.v > RECORD_VERSION {
@@ -102,7 +102,7 @@
         let record: Record<M::Body> = serde_json::from_str(text).map_err(|_| Halt::Malformed)?;
         let offset = self.next;
         self.next = offset.plus(1);
-        if self.is_repeat(&record) && Safeguard::RecordIdentity.is_active() {
+        if self.is_duplicate(&record) && Safeguard::RecordIdentity.is_active() {
             return Ok(None);
         }
         let last = LastSeen {
@@ -110,8 +110,8 @@
             offset,
         };
         self.writers.insert(record.id.writer, last);
-        self.forget_writers();
-        let latest = self.time.plus(MAX_TIME_STEP);
+        self.expire_writers();
+        let latest = self.time.plus(MAX_TIME_STEP_MS);
         if self.time == Millis(0) {
             self.time = record.at;
         }
@@ -128,19 +128,19 @@
         }))
     }
 
-    fn is_repeat(&self, record: &Record<M::Body>) -> bool {
+    fn is_duplicate(&self, record: &Record<M::Body>) -> bool {
         let last = self.writers.get(&record.id.writer);
         last.is_some_and(|l| l.seq >= record.id.seq)
     }
 
-    /// Drops writers that have been silent for the window, a few thousand records apart
-    /// so that the scan costs next to nothing.
-    fn forget_writers(&mut self) {
-        let Some(floor) = self.next.0.checked_sub(WRITER_WINDOW) else {
+    /// Drops writers without a record in the window. It scans only every few thousand records to
+    /// keep the cost negligible.
+    fn expire_writers(&mut self) {
+        let Some(oldest_kept) = self.next.0.checked_sub(WRITER_WINDOW_RECORDS) else {
             return;
         };
         if self.next.0 % 4_096 == 0 {
-            self.writers.retain(|_, l| l.offset.0 >= floor);
+            self.writers.retain(|_, l| l.offset.0 >= oldest_kept);
         }
     }
 }
--- a/crates/log/tests/replica.rs
+++ b/crates/log/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The log's client: identity, repeats, gaps, versions, snapshots.
+//! Tests of the log client: identities, repeated appends, gaps, versions and snapshots.
 
 use serde::{Deserialize, Serialize};
 use shaleline_log::{
@@ -7,7 +7,7 @@
 };
 use shaleline_types::{Millis, Offset, WriterId};
 
-/// Sums what it is given, and remembers how often each was applied.
+/// Sums the bodies of its records and lists every body that was applied.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 struct Sum {
     total: u64,
@@ -47,7 +47,7 @@
     }
 }
 
-fn submitted(replica: &mut Replica<Sum>, body: u64) -> Vec<String> {
+fn submit_one(replica: &mut Replica<Sum>, body: u64) -> Vec<String> {
     replica.submit(Priority::Config, body);
     replica
         .next_append(NOW, NOW, &mut budget())
@@ -57,7 +57,7 @@
 #[test]
 fn an_answered_append_is_applied_without_a_read() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
-    submitted(&mut replica, 5);
+    submit_one(&mut replica, 5);
     replica.on_append(NOW, AppendOutcome::At(Offset(0)));
     assert_eq!(replica.take_committed()[0].verdict, 5);
     assert_eq!(replica.next(), Offset(1));
@@ -66,11 +66,11 @@
 #[test]
 fn an_append_without_an_answer_is_repeated_under_the_same_identity() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
-    let first = submitted(&mut replica, 5);
+    let first = submit_one(&mut replica, 5);
     replica.on_append(NOW, AppendOutcome::Lost);
     assert!(
         replica.next_append(NOW, NOW, &mut budget()).is_none(),
-        "not at once"
+        "the batch is not repeated before its backoff has passed"
     );
     let later = NOW.plus(60_000);
     let second = replica.next_append(later, later, &mut budget());
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn a_record_that_landed_twice_takes_effect_once() {
+fn a_record_that_was_appended_twice_takes_effect_once() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
-    let text = submitted(&mut replica, 5).remove(0);
+    let text = submit_one(&mut replica, 5).remove(0);
     replica.on_append(NOW, AppendOutcome::Lost);
     let both = [text.clone(), text];
     assert_eq!(replica.on_read(&batch(0, &both)), Ok(()));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_newer_record_halts_and_is_never_guessed_at() {
+fn a_record_of_a_newer_version_halts_the_replica_and_is_not_applied() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
     let text = r#"{"v":9,"id":{"writer":2,"seq":1},"at":1,"body":7}"#.to_owned();
     assert_eq!(replica.on_read(&batch(0, &[text])), Err(Halt::Newer(9)));
@@ -109,7 +109,7 @@
 fn replica_of(bodies: &[u64]) -> Replica<Sum> {
     let mut replica: Replica<Sum> = Replica::new(WriterId(7));
     for body in bodies {
-        submitted(&mut replica, *body);
+        submit_one(&mut replica, *body);
         let at = replica.next();
         replica.on_append(NOW, AppendOutcome::At(at));
     }
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_snapshot_that_reaches_furthest_is_picked_not_the_last() {
+fn the_snapshot_with_the_highest_offset_is_picked_not_the_last() {
     let far = replica_of(&[1, 2, 3]).to_snapshot();
     let near = replica_of(&[1]).to_snapshot();
     let mut texts = far.to_chunks();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_torn_or_damaged_snapshot_is_passed_over() {
+fn an_incomplete_or_corrupt_snapshot_is_skipped() {
     let long: Vec<u64> = (0..60_000).collect();
     let mut big: Replica<Sum> = Replica::new(WriterId(7));
     for part in long.chunks(128) {
@@ -142,26 +142,26 @@
         let at = big.next();
         big.on_append(NOW, AppendOutcome::At(at));
     }
-    let mut torn = big.to_snapshot().to_chunks();
-    assert!(torn.len() > 1, "it has several chunks");
-    torn.pop();
+    let mut incomplete = big.to_snapshot().to_chunks();
+    assert!(incomplete.len() > 1, "it has several chunks");
+    incomplete.pop();
     let small = replica_of(&[1]).to_snapshot();
-    let mut texts = torn.clone();
+    let mut texts = incomplete.clone();
     texts.extend(small.to_chunks());
     assert_eq!(
         pick_snapshot(&stored(&texts)).map(|s| s.covers()),
         Some(Offset(1))
     );
-    let damaged: Vec<String> = small
+    let corrupt: Vec<String> = small
         .to_chunks()
         .iter()
         .map(|t| t.replace("total", "totul"))
         .collect();
-    assert_eq!(pick_snapshot(&stored(&damaged)), None);
+    assert_eq!(pick_snapshot(&stored(&corrupt)), None);
 }
 
 #[test]
-fn two_writers_of_the_same_state_give_the_same_bytes() {
+fn two_writers_of_the_same_state_produce_the_same_snapshot() {
     let one = replica_of(&[1, 2, 3]);
     let mut two: Replica<Sum> = Replica::new(WriterId(9));
     assert!(two.restore(&one.to_snapshot()));
@@ -169,19 +169,19 @@
 }
 
 #[test]
-fn a_snapshot_never_takes_a_replica_back() {
+fn an_older_snapshot_is_not_restored() {
     let mut far = replica_of(&[1, 2, 3]);
     let near = replica_of(&[1]).to_snapshot();
     assert!(!far.restore(&near));
     assert_eq!(far.next(), Offset(3));
 }
 
-/// Found by `faults`, seed 1: the batch was in the snapshot, so it was never read back,
-/// and the replica repeated it for ever.
+/// Guards against a batch that is repeated for ever. A restored snapshot included the batch, so
+/// that it was never read back. Found by `faults` with seed 1.
 #[test]
-fn regression_a_batch_that_a_restored_snapshot_holds_is_settled() {
+fn regression_a_batch_that_a_restored_snapshot_includes_is_resolved() {
     let mut writer: Replica<Sum> = Replica::new(WriterId(1));
-    let texts = submitted(&mut writer, 5);
+    let texts = submit_one(&mut writer, 5);
     writer.on_append(NOW, AppendOutcome::Lost);
     let mut other: Replica<Sum> = Replica::new(WriterId(2));
     assert_eq!(other.on_read(&batch(0, &texts)), Ok(()));
@@ -190,22 +190,25 @@
     assert_eq!(
         writer.take_committed()[0].verdict,
         1,
-        "the verdict is recalled from the state"
+        "the verdict is recovered from the state"
     );
 }
 
 #[test]
-fn a_record_that_has_not_left_can_be_taken_back() {
+fn only_a_queued_record_can_be_withdrawn() {
     let mut replica: Replica<Sum> = Replica::new(WriterId(1));
     let ticket = replica.submit(Priority::Once, 1);
     assert!(replica.withdraw(Priority::Once, ticket));
     let ticket = replica.submit(Priority::Once, 2);
     assert!(replica.next_append(NOW, NOW, &mut budget()).is_some());
-    assert!(!replica.withdraw(Priority::Once, ticket), "it may land");
+    assert!(
+        !replica.withdraw(Priority::Once, ticket),
+        "it may be appended"
+    );
 }
 
 #[test]
-fn a_wrong_clock_moves_the_streams_time_by_a_bounded_step() {
+fn a_wrong_clock_advances_the_streams_time_by_a_bounded_step() {
     let record = |seq: u64, at: u64| {
         format!(r#"{{"v":1,"id":{{"writer":3,"seq":{seq}}},"at":{at},"body":1}}"#)
     };
@@ -224,6 +227,6 @@
     }
     assert!(
         (100..=110).contains(&taken),
-        "{taken} in 10 s at 10 a second"
+        "{taken} appends in 10 s at 10 per second"
     );
 }
