--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,31 +1,31 @@
-//! A change, and the verdict of the replay on it.
+//! Configuration changes and the replay's verdicts on them.
 
 use crate::{Fleet, Operator, Organisation, Template};
 use serde::{Deserialize, Serialize};
 use shaleline_types::{ChangeId, Error, ErrorKind, Offset, Org, TemplateName, TokenHash};
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Op {
     /// Sets the catalogue and the accelerators.
     PutFleet(Fleet),
-    /// Creates or replaces a template, with all that is made from it.
+    /// Creates or replaces a template, which also affects all organisations that use it.
     PutTemplate(Box<Template>),
-    /// Removes a template that nothing is made from.
+    /// Removes a template that no organisation uses.
     RemoveTemplate(TemplateName),
     /// Creates or replaces an organisation.
     PutOrganisation(Organisation),
     /// Removes an organisation and its tokens.
     RemoveOrganisation(Org),
-    /// Lets callers with this token act for the organisation.
+    /// Allows callers with this token to act for the organisation.
     AddToken {
         /// The organisation.
         org: Org,
         /// The token's hash.
         token: TokenHash,
     },
-    /// Withdraws a token.
+    /// Revokes a token.
     RevokeToken {
         /// The organisation.
         org: Org,
@@ -36,18 +36,17 @@
     PutOperator(Operator),
     /// Removes an operator.
     RemoveOperator(String),
-    /// Stops new work for an instance or upstream, or allows it again.
+    /// Stops sending new work to an instance or upstream, or resumes it.
     Drain {
         /// The name of the instance or upstream.
         target: String,
-        /// Whether it is to get no new work.
+        /// Whether the target gets no new work.
         on: bool,
     },
 }
 
 impl Op {
-    /// The object that is changed, by kind and name. Its version is what a change is
-    /// made from.
+    /// The changed object, by kind and name. A change is based on a version of this object.
     #[must_use]
     pub fn object(&self) -> String {
         match self {
@@ -63,7 +62,7 @@
         }
     }
 
-    /// The organisation that is changed, where only one is.
+    /// The changed organisation, if the operation changes exactly one.
     #[must_use]
     pub fn org(&self) -> Option<&Org> {
         match self {
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Whether the version it was made from must be current. Token and drain changes
-    /// set one element each, so that racing ones don't undo each other.
+    /// Whether the change's base version must be current. Token and drain changes need no version
+    /// check: each sets a single element, so that concurrent changes don't undo each other.
     #[must_use]
     pub(crate) fn is_versioned(&self) -> bool {
         !matches!(
@@ -86,27 +85,27 @@
     }
 }
 
-/// A change as an operator asks for it.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The operator's identity for it; repeating a call under the same one is harmless.
+    /// The id that the operator chose; a repeated call with the same id is idempotent.
     pub id: ChangeId,
-    /// Who asked.
+    /// The name of the operator.
     pub by: String,
-    /// The version of the object it was made from; `None` if there was none.
+    /// The version of the object that the change is based on; `None` if the object did not exist.
     #[serde(default)]
     pub base: Option<Offset>,
-    /// What it does.
+    /// The operation.
     pub op: Op,
 }
 
-/// Why a change was refused.
+/// The reason why a change was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The kind, one of the closed list.
+    /// The error kind.
     pub kind: ErrorKind,
-    /// Every fault found, or what the winner of a race changed.
+    /// All faults found, or what a conflicting change has changed.
     pub faults: Vec<String>,
 }
 
@@ -120,8 +119,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// In force from this offset, which is the object's new version.
+    /// The change is in force from this offset, which is the object's new version.
     Accepted(Offset),
-    /// Without effect.
+    /// The change has no effect.
     Refused(Refusal),
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,13 +1,13 @@
-//! Checks of the whole: references, and that one replica of everything fits.
+//! Checks of the configuration: references, and whether one replica of every model fits.
 
 use crate::tenant::check_value;
 use crate::{Fleet, Template, Tenant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The largest number of accelerators that the check looks at.
-const MOST_ACCELERATORS: u32 = 100_000;
+/// The largest number of accelerators in a fleet, which bounds the cost of the memory check.
+const MAX_ACCELERATORS: u32 = 100_000;
 
-/// The faults of a template by itself.
+/// Returns the faults of a template on its own.
 pub(crate) fn check_template(template: &Template) -> Vec<String> {
     let mut faults = Vec::new();
     let mut names = BTreeSet::new();
@@ -22,7 +22,7 @@
     faults
 }
 
-/// The faults of a fleet by itself.
+/// Returns the faults of a fleet on its own.
 pub(crate) fn check_fleet(fleet: &Fleet) -> Vec<String> {
     let mut faults = Vec::new();
     let mut seen = BTreeSet::new();
@@ -40,14 +40,14 @@
         }
     }
     let count: u64 = fleet.accelerators.iter().map(|a| u64::from(a.count)).sum();
-    if count > u64::from(MOST_ACCELERATORS) {
-        faults.push(format!("{count} accelerators, {MOST_ACCELERATORS} allowed"));
+    if count > u64::from(MAX_ACCELERATORS) {
+        faults.push(format!("{count} accelerators, {MAX_ACCELERATORS} allowed"));
     }
     faults
 }
 
-/// The faults of all organisations together against the fleet.
-pub(crate) fn check_whole(fleet: &Fleet, tenants: &[Tenant]) -> Vec<String> {
+/// Returns the faults of all organisations checked against the fleet.
+pub(crate) fn check_tenants(fleet: &Fleet, tenants: &[Tenant]) -> Vec<String> {
     let mut faults = Vec::new();
     for tenant in tenants {
         faults.extend(check_references(fleet, tenant));
@@ -85,20 +85,20 @@
     faults
 }
 
-/// Packs one replica of every model with its adapters, largest first, into the
-/// accelerators. First fit is not the best packing: a fleet that only just fits may be
-/// refused, one that does not fit is never accepted.
+/// Packs one replica of every model with its adapters into the accelerators by first-fit
+/// decreasing. First fit is not optimal: a configuration that barely fits may be refused, but one
+/// that does not fit is never accepted.
 fn check_memory(fleet: &Fleet, tenants: &[Tenant]) -> Option<String> {
-    let mut needs: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut need_by_model: BTreeMap<&str, u64> = BTreeMap::new();
     let mut adapters: BTreeSet<&str> = BTreeSet::new();
     for tenant in tenants {
         for spec in tenant.models.iter().filter_map(|m| fleet.model(m)) {
-            needs.insert(spec.name.as_str(), spec.size.0.saturating_add(spec.kv.0));
+            need_by_model.insert(spec.name.as_str(), spec.size.0.saturating_add(spec.kv.0));
         }
         adapters.extend(tenant.adapters.iter().map(String::as_str));
     }
     for spec in adapters.into_iter().filter_map(|a| fleet.adapter(a)) {
-        if let Some(need) = needs.get_mut(spec.base.as_str()) {
+        if let Some(need) = need_by_model.get_mut(spec.base.as_str()) {
             *need = need.saturating_add(spec.size.0);
         }
     }
@@ -106,7 +106,7 @@
     for spec in &fleet.accelerators {
         free.extend((0..spec.count).map(|_| spec.memory.0));
     }
-    let mut needs: Vec<(u64, &str)> = needs.into_iter().map(|(m, n)| (n, m)).collect();
+    let mut needs: Vec<(u64, &str)> = need_by_model.into_iter().map(|(m, n)| (n, m)).collect();
     needs.sort_unstable_by(|a, b| b.cmp(a));
     for (need, model) in needs {
         match free.iter_mut().find(|f| **f >= need) {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What there is to serve and what it runs on.
+//! The catalogue of models, adapters and services, and the accelerators.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Adapter, Megabytes, Model, Service};
@@ -9,12 +9,12 @@
 pub struct ModelSpec {
     /// The name that callers use.
     pub name: Model,
-    /// The version to serve. A higher one is loaded beside the old before that goes.
+    /// The version to serve. A higher version is loaded before the old one is unloaded.
     #[serde(default = "first_version")]
     pub version: u32,
-    /// Memory for the weights.
+    /// The memory for the weights.
     pub size: Megabytes,
-    /// Memory kept for the KV cache of a replica.
+    /// The memory reserved for the KV cache of a replica.
     #[serde(default)]
     pub kv: Megabytes,
 }
@@ -29,17 +29,17 @@
 pub struct AdapterSpec {
     /// The name that callers use.
     pub name: Adapter,
-    /// The model it sits on.
+    /// The base model.
     pub base: Model,
-    /// Memory it takes beside the base.
+    /// The memory that the adapter needs in addition to the base model.
     pub size: Megabytes,
 }
 
-/// A plain service beside the engines.
+/// A plain service, which runs outside the engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// The name that stands in the path.
+    /// The name in the request path.
     pub name: Service,
     /// Whether a call without an idempotency key may be repeated.
     #[serde(default)]
@@ -50,44 +50,44 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AcceleratorSpec {
-    /// How many there are.
+    /// The number of accelerators.
     pub count: u32,
-    /// What each holds.
+    /// The memory of each accelerator.
     pub memory: Megabytes,
 }
 
-/// The catalogue of models, adapters and services, and the accelerators declared.
+/// The catalogue of models, adapters and services, and the declared accelerators.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The accelerators that one replica of everything must fit.
+    /// The accelerators. One replica of every model in use must fit on them.
     #[serde(default)]
     pub accelerators: Vec<AcceleratorSpec>,
-    /// The models.
+    /// The models in the catalogue.
     #[serde(default)]
     pub models: Vec<ModelSpec>,
-    /// The adapters.
+    /// The adapters in the catalogue.
     #[serde(default)]
     pub adapters: Vec<AdapterSpec>,
-    /// The plain services.
+    /// The plain services in the catalogue.
     #[serde(default)]
     pub services: Vec<ServiceSpec>,
 }
 
 impl Fleet {
-    /// The model of this name.
+    /// The model with this name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         self.models.iter().find(|m| m.name.as_str() == name)
     }
 
-    /// The adapter of this name.
+    /// The adapter with this name.
     #[must_use]
     pub fn adapter(&self, name: &str) -> Option<&AdapterSpec> {
         self.adapters.iter().find(|a| a.name.as_str() == name)
     }
 
-    /// The service of this name.
+    /// The service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.iter().find(|s| s.name.as_str() == name)
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,13 +1,13 @@
-//! Templates, organisations and the replay that accepts or refuses a change.
+//! Templates, organisations and the replay that accepts or refuses configuration changes.
 //!
-//! An operator writes a [`Template`] once; an [`Organisation`] is a template's name and
-//! values for its parameters. A [`Change`] names the version it was made from, and
-//! [`ConfigMachine`], replayed from the log, accepts it only if that is still current
-//! and the whole checks out. So of two operators who race, exactly one wins, and every
-//! daemon knows which. A [`View`] is what the daemon serves by: each organisation
-//! resolved into a [`Tenant`].
+//! An operator writes a [`Template`] once; an [`Organisation`] is the name of a template and
+//! values for its parameters. A [`Change`] contains the version that it is based on, and
+//! [`ConfigMachine`], which is replayed from the log, accepts it only if that version is still
+//! current and the resulting configuration is valid. Of two conflicting changes exactly one is
+//! therefore accepted, and all daemons agree on which. A [`View`] is the resolved configuration
+//! that a daemon uses to serve requests, with each organisation resolved into a [`Tenant`].
 //!
-//! The ways that were weighed are in `docs/CONFIGURATION.md`.
+//! `docs/CONFIGURATION.md` compares the alternatives.
 
 mod change;
 mod check;
--- a/crates/config/src/machine.rs
+++ b/crates/config/src/machine.rs
@@ -1,6 +1,6 @@
-//! The replay that accepts or refuses each change.
+//! The state machine that accepts or refuses configuration changes.
 
-use crate::check::{check_fleet, check_template, check_whole};
+use crate::check::{check_fleet, check_template, check_tenants};
 use crate::{Change, Fleet, Op, Operator, Organisation, Refusal, Template, Tenant, Verdict};
 use serde::{Deserialize, Serialize};
 use shaleline_log::{Position, StateMachine};
@@ -9,29 +9,29 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many change ids are remembered. A call repeated after so many later changes is
-/// judged anew, and then refused because its base is old.
-const CHANGES_KEPT: usize = 8_192;
+/// The number of change ids that are remembered. A call that is repeated after this many later
+/// changes is validated again, and then refused because its base version is outdated.
+const MAX_REMEMBERED_CHANGES: usize = 8_192;
 
-/// Who set an object's version, and what that changed.
+/// The version of an object, with the author and the changed fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectVersion {
-    /// The offset of the change that was accepted last.
+    /// The offset of the last accepted change.
     pub version: Offset,
-    /// Who made it.
+    /// The operator who made that change.
     pub by: String,
-    /// Its id.
+    /// The id of that change.
     pub change: ChangeId,
-    /// The fields it changed.
+    /// The fields that it changed.
     pub fields: Vec<String>,
-    /// Whether the object was removed. Its version stays, so that a change made from
-    /// before the removal can't bring it back unseen.
+    /// Whether the object was removed. The version of a removed object is kept, so that a change
+    /// based on a version before the removal can't recreate the object unnoticed.
     #[serde(default)]
     pub removed: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Judged {
+struct JudgedChange {
     offset: Offset,
     verdict: Verdict,
 }
@@ -46,11 +46,11 @@
     operators: BTreeMap<String, Operator>,
     drained: BTreeSet<String>,
     versions: BTreeMap<String, ObjectVersion>,
-    changes: BTreeMap<ChangeId, Judged>,
+    changes: BTreeMap<ChangeId, JudgedChange>,
     order: BTreeMap<Offset, ChangeId>,
 }
 
-/// What an accepted change would make of the parts that are checked together.
+/// The parts of the configuration that are checked together, as they would be after a change.
 struct Draft {
     fleet: Fleet,
     templates: BTreeMap<TemplateName, Template>,
@@ -88,7 +88,7 @@
         &self.operators
     }
 
-    /// The instances and upstreams that are to get no new work.
+    /// The instances and upstreams that get no new work.
     #[must_use]
     pub fn drained(&self) -> &BTreeSet<String> {
         &self.drained
@@ -100,19 +100,19 @@
         &self.versions
     }
 
-    /// The verdict on a change that was judged earlier.
+    /// The verdict on an earlier change, if it is remembered.
     #[must_use]
     pub fn verdict_of(&self, id: &ChangeId) -> Option<&Verdict> {
         self.changes.get(id).map(|j| &j.verdict)
     }
 
-    /// The version that a change of `object` is to be made from.
+    /// The current version of `object`, on which a change must be based.
     #[must_use]
     pub fn current_version(&self, object: &str) -> Option<Offset> {
         self.versions.get(object).map(|v| v.version)
     }
 
-    /// Every organisation resolved by its template.
+    /// All organisations, resolved by their templates.
     #[must_use]
     pub fn tenants(&self) -> Vec<Tenant> {
         let resolve = |o: &Organisation| {
@@ -122,7 +122,7 @@
         self.orgs.values().filter_map(resolve).collect()
     }
 
-    fn judge(&self, change: &Change) -> Result<(), Refusal> {
+    fn validate(&self, change: &Change) -> Result<(), Refusal> {
         self.check_version(change)?;
         let faults = match &change.op {
             Op::PutFleet(fleet) => check_fleet(fleet),
@@ -142,8 +142,8 @@
     fn check_version(&self, change: &Change) -> Result<(), Refusal> {
         let object = change.op.object();
         let current = self.current_version(&object);
-        let checked = change.op.is_versioned() && Safeguard::VersionCheck.is_active();
-        if !checked || current == change.base {
+        let is_checked = change.op.is_versioned() && Safeguard::VersionCheck.is_active();
+        if !is_checked || current == change.base {
             return Ok(());
         }
         let fault = match self.versions.get(&object) {
@@ -212,7 +212,7 @@
         draft
     }
 
-    /// The fields that an operation changes, for whoever loses a race against it.
+    /// The fields that an operation changes, reported when a later change conflicts with it.
     fn changed_fields(&self, op: &Op) -> Vec<String> {
         let (old, new) = match op {
             Op::PutFleet(new) => (to_json(&self.fleet), to_json(new)),
@@ -230,7 +230,7 @@
         new.iter().filter(changed).map(|(k, _)| k.clone()).collect()
     }
 
-    fn put(&mut self, op: &Op) {
+    fn apply_op(&mut self, op: &Op) {
         match op {
             Op::PutFleet(fleet) => self.fleet = fleet.clone(),
             Op::PutTemplate(t) => {
@@ -271,8 +271,8 @@
         let object = change.op.object();
         let fields = self.changed_fields(&change.op);
         let last = self.versions.get(&object).map(|v| v.version);
-        assert!(last < Some(at), "versions only grow");
-        self.put(&change.op);
+        assert!(last < Some(at), "versions must increase");
+        self.apply_op(&change.op);
         let removed = matches!(
             change.op,
             Op::RemoveTemplate(_) | Op::RemoveOrganisation(_) | Op::RemoveOperator(_)
@@ -288,13 +288,13 @@
     }
 
     fn remember(&mut self, offset: Offset, id: &ChangeId, verdict: &Verdict) {
-        let judged = Judged {
+        let judged = JudgedChange {
             offset,
             verdict: verdict.clone(),
         };
         self.changes.insert(id.clone(), judged);
         self.order.insert(offset, id.clone());
-        while self.order.len() > CHANGES_KEPT {
+        while self.order.len() > MAX_REMEMBERED_CHANGES {
             if let Some((_, oldest)) = self.order.pop_first() {
                 self.changes.remove(&oldest);
             }
@@ -319,7 +319,7 @@
             }
         }
         if faults.is_empty() {
-            faults.extend(check_whole(&self.fleet, &tenants));
+            faults.extend(check_tenants(&self.fleet, &tenants));
         }
         if faults.is_empty() {
             return Ok(());
@@ -336,7 +336,7 @@
         if let Some(judged) = self.changes.get(&change.id) {
             return judged.verdict.clone();
         }
-        let verdict = match self.judge(change) {
+        let verdict = match self.validate(change) {
             Ok(()) => {
                 self.accept(at.offset, change);
                 Verdict::Accepted(at.offset)
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,22 +1,23 @@
-//! Who may read and change what.
+//! Operators and their permissions.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Org, TokenHash};
 
-/// What an operator may do.
+/// The role of an operator, which determines the operator's permissions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// See everything, change nothing.
+    /// May read everything and change nothing.
     Read,
-    /// See and change one organisation.
+    /// May read and change one organisation.
     Organisation(Org),
-    /// See and change everything.
+    /// May read and change everything.
     All,
 }
 
 impl Role {
-    /// Whether this role may change the organisation, or anything where `org` is `None`.
+    /// Whether this role may change `org`, or, if `org` is `None`, objects outside any single
+    /// organisation.
     #[must_use]
     pub fn may_change(&self, org: Option<&Org>) -> bool {
         match self {
@@ -33,13 +34,13 @@
     }
 }
 
-/// An operator's name, role and the hash of the token.
+/// An operator with name, role and token hash.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// The name that stands in the record of changes.
+    /// The name that is stored with the operator's changes.
     pub name: String,
-    /// What the operator may do.
+    /// The operator's role.
     pub role: Role,
     /// The hash of the operator's token.
     pub token: TokenHash,
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -1,10 +1,10 @@
-//! Templates with named, typed, bounded parameters.
+//! Templates with named, typed and bounded parameters.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Org, TemplateName};
 use std::collections::BTreeMap;
 
-/// A value of a parameter or a setting.
+/// The value of a parameter or setting.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
@@ -14,36 +14,36 @@
     Names(Vec<String>),
 }
 
-/// What a parameter takes, with its bounds.
+/// The type and bounds of a parameter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum ParamKind {
-    /// A whole number between two bounds, both included.
+    /// A whole number between two inclusive bounds.
     Integer {
-        /// The lowest value allowed.
+        /// The lowest allowed value.
         min: u64,
-        /// The highest value allowed.
+        /// The highest allowed value.
         max: u64,
     },
-    /// A list of names, each one of those allowed.
+    /// A list of allowed names.
     Names {
-        /// The names that may be chosen; empty for any that the fleet has.
+        /// The allowed names; if empty, any name in the fleet is allowed.
         #[serde(default)]
         allowed: Vec<String>,
-        /// How many may be chosen at the most.
+        /// The maximum number of names.
         most: usize,
     },
 }
 
-/// A parameter that each organisation fills in.
+/// A parameter for which each organisation may give a value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Param {
     /// The name that organisations and settings use.
     pub name: String,
-    /// What it takes.
+    /// The type and bounds.
     #[serde(flatten)]
     pub kind: ParamKind,
-    /// The value where an organisation gives none; without one it must.
+    /// The value for organisations that give none. Without a default, a value is required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub default: Option<Value>,
 }
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Setting {
-    /// Taken from the parameter of this name.
+    /// The value of a parameter.
     Param {
         /// The parameter's name.
         param: String,
@@ -61,32 +61,32 @@
     Fixed(Value),
 }
 
-/// What a template settles for its organisations.
+/// The settings of a template's organisations.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The models that its callers may use.
+    /// The models that callers may use.
     #[serde(default = "no_names")]
     pub models: Setting,
-    /// The adapters that its callers may use.
+    /// The adapters that callers may use.
     #[serde(default = "no_names")]
     pub adapters: Setting,
-    /// The plain services that its callers may use.
+    /// The plain services that callers may use.
     #[serde(default = "no_names")]
     pub services: Setting,
-    /// 0 is the most urgent, 9 the least.
+    /// The priority, from 0 (most urgent) to 9 (least urgent).
     pub priority: Setting,
-    /// The share among organisations of one priority.
+    /// The weight of the organisation's share among those of the same priority.
     #[serde(default = "one")]
     pub weight: Setting,
-    /// How long a request may wait for its first token or answer, in milliseconds.
+    /// The maximum time that a request may wait for its first token or answer, in milliseconds.
     #[serde(default = "ten_seconds")]
     pub patience: Setting,
-    /// Requests a second over all daemons.
+    /// The limit of requests per second over all daemons.
     pub rate: Setting,
-    /// Requests at once over all daemons.
+    /// The limit of concurrent requests over all daemons.
     pub concurrency: Setting,
-    /// Generated tokens a second over all daemons.
+    /// The limit of generated tokens per second over all daemons.
     pub tokens: Setting,
 }
 
@@ -102,16 +102,16 @@
     Setting::Fixed(Value::Integer(1))
 }
 
-/// A template that operators write once.
+/// A template from which organisations are configured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Its name.
+    /// The name of the template.
     pub name: TemplateName,
-    /// Its parameters.
+    /// The parameters that organisations give values for.
     #[serde(default)]
     pub params: Vec<Param>,
-    /// Its settings.
+    /// The settings, which may refer to parameters.
     pub settings: Settings,
 }
 
@@ -119,9 +119,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// Its name.
+    /// The name of the organisation.
     pub name: Org,
-    /// The template it is made from.
+    /// The name of its template.
     pub template: TemplateName,
     /// The values of the parameters.
     #[serde(default)]
--- a/crates/config/src/tenant.rs
+++ b/crates/config/src/tenant.rs
@@ -1,67 +1,66 @@
-//! An organisation with its template's settings filled in.
+//! Organisations with all settings resolved.
 
 use crate::{Organisation, Param, ParamKind, Setting, Template, Value};
 use serde::{Deserialize, Serialize};
 use shaleline_types::Org;
 use std::collections::BTreeSet;
 
-/// The least urgent priority.
-const LAST_PRIORITY: u64 = 9;
+const LEAST_URGENT_PRIORITY: u64 = 9;
 
-/// A day: whoever may wait longer should send the request later.
-const LONGEST_PATIENCE: u64 = 24 * 3_600_000;
+/// One day. A caller that can wait longer should send its request later.
+const MAX_PATIENCE_MS: u64 = 24 * 3_600_000;
 
-/// What an organisation may use, resolved from template and values.
+/// The settings of an organisation, resolved from its template and values.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// The organisation.
+    /// The name of the organisation.
     pub org: Org,
-    /// The models that its callers may use.
+    /// The models that callers may use.
     pub models: BTreeSet<String>,
-    /// The adapters that its callers may use.
+    /// The adapters that callers may use.
     pub adapters: BTreeSet<String>,
-    /// The plain services that its callers may use.
+    /// The plain services that callers may use.
     pub services: BTreeSet<String>,
-    /// 0 is the most urgent, 9 the least.
+    /// The priority, from 0 (most urgent) to 9 (least urgent).
     pub priority: u8,
-    /// The share among organisations of one priority.
+    /// The weight of the organisation's share among those of the same priority.
     pub weight: u64,
-    /// How long a request may wait for its first token or answer, in milliseconds.
+    /// The maximum time that a request may wait for its first token or answer, in milliseconds.
     pub patience: u64,
-    /// Requests a second over all daemons.
+    /// The limit of requests per second over all daemons.
     pub rate: u64,
-    /// Requests at once over all daemons.
+    /// The limit of concurrent requests over all daemons.
     pub concurrency: u64,
-    /// Generated tokens a second over all daemons.
+    /// The limit of generated tokens per second over all daemons.
     pub tokens: u64,
 }
 
 impl Tenant {
-    /// Fills in a template with an organisation's values. All faults are listed.
+    /// Resolves a template with an organisation's values. An error lists all faults.
     pub(crate) fn resolve(template: &Template, org: &Organisation) -> Result<Self, Vec<String>> {
-        let mut r = Resolver {
+        let mut resolver = Resolver {
             template,
             org,
             faults: Vec::new(),
         };
-        r.check_values();
+        resolver.check_values();
         let s = &template.settings;
         let tenant = Self {
             org: org.name.clone(),
-            models: r.names("models", &s.models),
-            adapters: r.names("adapters", &s.adapters),
-            services: r.names("services", &s.services),
-            priority: r.integer("priority", &s.priority, 0, LAST_PRIORITY) as u8,
-            weight: r.integer("weight", &s.weight, 1, 1_000),
-            patience: r.integer("patience", &s.patience, 1, LONGEST_PATIENCE),
-            rate: r.integer("rate", &s.rate, 1, u64::MAX),
-            concurrency: r.integer("concurrency", &s.concurrency, 1, u64::MAX),
-            tokens: r.integer("tokens", &s.tokens, 1, u64::MAX),
+            models: resolver.names("models", &s.models),
+            adapters: resolver.names("adapters", &s.adapters),
+            services: resolver.names("services", &s.services),
+            priority: resolver.integer("priority", &s.priority, 0, LEAST_URGENT_PRIORITY) as u8,
+            weight: resolver.integer("weight", &s.weight, 1, 1_000),
+            patience: resolver.integer("patience", &s.patience, 1, MAX_PATIENCE_MS),
+            rate: resolver.integer("rate", &s.rate, 1, u64::MAX),
+            concurrency: resolver.integer("concurrency", &s.concurrency, 1, u64::MAX),
+            tokens: resolver.integer("tokens", &s.tokens, 1, u64::MAX),
         };
-        if r.faults.is_empty() {
+        if resolver.faults.is_empty() {
             Ok(tenant)
         } else {
-            Err(r.faults)
+            Err(resolver.faults)
         }
     }
 }
@@ -96,11 +95,11 @@
             Setting::Fixed(value) => return Some(value.clone()),
             Setting::Param { param } => param,
         };
-        let Some(spec) = self.template.params.iter().find(|p| &p.name == param) else {
+        let Some(definition) = self.template.params.iter().find(|p| &p.name == param) else {
             self.fault(&format!("setting {name} names no parameter: {param}"));
             return None;
         };
-        let value = self.org.values.get(param).or(spec.default.as_ref());
+        let value = self.org.values.get(param).or(definition.default.as_ref());
         if value.is_none() {
             self.fault(&format!("parameter {param} has no value and no default"));
         }
@@ -151,8 +150,8 @@
                     "parameter {name} has {count} names, {most} allowed"
                 ));
             }
-            let foreign = |n: &&String| !allowed.is_empty() && !allowed.contains(n);
-            match names.iter().find(foreign) {
+            let not_allowed = |n: &&String| !allowed.is_empty() && !allowed.contains(n);
+            match names.iter().find(not_allowed) {
                 Some(n) => Err(format!("parameter {name} does not allow {n}")),
                 None => Ok(()),
             }
--- a/crates/config/src/view.rs
+++ b/crates/config/src/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon serves by, resolved once per accepted change.
+//! The resolved configuration of a daemon, rebuilt after each accepted change.
 
 use crate::{ConfigMachine, Fleet, Operator, Tenant};
 use shaleline_types::{Offset, TokenHash};
@@ -8,11 +8,11 @@
 /// The configuration in force, resolved for look-ups.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// The offset of the next record that is not in it.
+    /// The offset of the first record that the view does not include.
     pub next: Offset,
-    /// The catalogue.
+    /// The catalogue and the accelerators.
     pub fleet: Fleet,
-    /// The instances and upstreams that are to get no new work.
+    /// The instances and upstreams that get no new work.
     pub drained: BTreeSet<String>,
     tenants: BTreeMap<String, Arc<Tenant>>,
     callers: BTreeMap<TokenHash, Arc<Tenant>>,
@@ -20,7 +20,7 @@
 }
 
 impl View {
-    /// Resolves the machine's state at `next`.
+    /// Resolves the state of `machine`, which has applied all records before `next`.
     #[must_use]
     pub fn from_machine(machine: &ConfigMachine, next: Offset) -> Self {
         let tenants: BTreeMap<String, Arc<Tenant>> = machine
@@ -42,15 +42,15 @@
         }
     }
 
-    /// The organisation whose token this is. The look-up is by the hash of a long random
-    /// token, so its timing tells nothing of use.
+    /// The organisation of a caller's token. The look-up uses the hash of a long random token, so
+    /// that its timing reveals nothing useful.
     #[must_use]
     pub fn caller(&self, token: &TokenHash) -> Option<&Arc<Tenant>> {
         let (kept, tenant) = self.callers.get_key_value(token)?;
         kept.matches(token).then_some(tenant)
     }
 
-    /// The operator whose token this is.
+    /// The operator with this token.
     #[must_use]
     pub fn operator(&self, token: &TokenHash) -> Option<&Operator> {
         self.operators.iter().find(|o| o.token.matches(token))
@@ -61,14 +61,14 @@
         self.tenants.values()
     }
 
-    /// The names of the models that some organisation uses.
+    /// The names of the models that at least one organisation uses.
     #[must_use]
     pub fn used_models(&self) -> BTreeSet<&str> {
         let names = self.tenants.values().flat_map(|t| t.models.iter());
         names.map(String::as_str).collect()
     }
 
-    /// The names of the adapters that some organisation uses.
+    /// The names of the adapters that at least one organisation uses.
     #[must_use]
     pub fn used_adapters(&self) -> BTreeSet<&str> {
         let names = self.tenants.values().flat_map(|t| t.adapters.iter());
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes: races, repeats, whole checks.
+//! Tests of configuration changes: conflicts, repeated changes and validation.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shaleline_config::{
@@ -23,8 +23,8 @@
             machine: ConfigMachine::default(),
             next: 0,
         };
-        assert!(accepted(&log.put("fleet", None, Op::PutFleet(fleet(2)))));
-        assert!(accepted(&log.put(
+        assert!(accepted(&log.apply("fleet", None, Op::PutFleet(fleet(2)))));
+        assert!(accepted(&log.apply(
             "template",
             None,
             Op::PutTemplate(Box::new(template(9)))
@@ -32,7 +32,7 @@
         log
     }
 
-    fn put(&mut self, id: &str, base: Option<Offset>, op: Op) -> Verdict {
+    fn apply(&mut self, id: &str, base: Option<Offset>, op: Op) -> Verdict {
         let at = Position {
             offset: Offset(self.next),
             time: Millis(self.next),
@@ -86,7 +86,7 @@
     }
 }
 
-fn template(most: u64) -> Template {
+fn template(max_priority: u64) -> Template {
     let param = |name: &str| Setting::Param {
         param: name.to_owned(),
     };
@@ -106,7 +106,10 @@
             names("adapters"),
             Param {
                 name: "priority".to_owned(),
-                kind: ParamKind::Integer { min: 0, max: most },
+                kind: ParamKind::Integer {
+                    min: 0,
+                    max: max_priority,
+                },
                 default: Some(Value::Integer(0)),
             },
         ],
@@ -138,7 +141,7 @@
 }
 
 fn first_fault(values: &[(&str, Value)]) -> String {
-    let verdict = Log::new().put("c", None, org("o", values));
+    let verdict = Log::new().apply("c", None, org("o", values));
     match verdict {
         Verdict::Accepted(_) => "accepted".to_owned(),
         Verdict::Refused(r) => r.faults[0].clone(),
@@ -146,7 +149,7 @@
 }
 
 cases! { first_fault;
-    a_sound_organisation: &[("models", names(&["small"]))] => "accepted",
+    a_valid_organisation: &[("models", names(&["small"]))] => "accepted",
     an_unknown_parameter: &[("colour", Value::Integer(1))]
         => "organisation o: the template has no parameter colour",
     a_number_out_of_bounds: &[("priority", Value::Integer(10))]
@@ -161,17 +164,17 @@
 }
 
 #[test]
-fn of_two_operators_who_race_one_wins_and_the_other_learns_what_changed() {
+fn of_two_conflicting_changes_one_is_refused_with_the_changed_fields() {
     let mut log = Log::new();
-    log.put("create", None, org("o", &[]));
+    log.apply("create", None, org("o", &[]));
     let base = log.current_version("organisation/o");
-    assert!(accepted(&log.put(
+    assert!(accepted(&log.apply(
         "one",
         base,
         org("o", &[("priority", Value::Integer(1))])
     )));
-    let loser = log.put("two", base, org("o", &[("priority", Value::Integer(2))]));
-    let (kind, text) = refusal(&loser);
+    let refused = log.apply("two", base, org("o", &[("priority", Value::Integer(2))]));
+    let (kind, text) = refusal(&refused);
     assert_eq!(kind, ErrorKind::Conflict);
     assert!(
         text.contains("ada changed values.priority by change one"),
@@ -182,20 +185,20 @@
 #[test]
 fn a_repeated_change_has_one_effect_and_one_verdict() {
     let mut log = Log::new();
-    let first = log.put("same", None, org("o", &[]));
-    let again = log.put("same", None, org("o", &[]));
+    let first = log.apply("same", None, org("o", &[]));
+    let again = log.apply("same", None, org("o", &[]));
     assert_eq!(first, again);
     assert_eq!(log.current_version("organisation/o"), Some(Offset(2)));
 }
 
 #[test]
-fn a_template_change_is_accepted_whole_or_refused_whole() {
+fn a_template_change_is_applied_atomically() {
     let mut log = Log::new();
-    log.put("a", None, org("a", &[("priority", Value::Integer(3))]));
-    log.put("b", None, org("b", &[("priority", Value::Integer(8))]));
+    log.apply("a", None, org("a", &[("priority", Value::Integer(3))]));
+    log.apply("b", None, org("b", &[("priority", Value::Integer(8))]));
     let base = log.current_version("template/standard");
     let before = log.machine.clone();
-    let verdict = log.put("narrow", base, Op::PutTemplate(Box::new(template(5))));
+    let verdict = log.apply("narrow", base, Op::PutTemplate(Box::new(template(5))));
     let (_, text) = refusal(&verdict);
     assert!(text.contains("organisation b"), "{text}");
     assert_eq!(log.machine.templates(), before.templates());
@@ -203,36 +206,36 @@
 }
 
 #[test]
-fn a_template_in_use_is_not_removed() {
+fn removing_a_template_in_use_is_refused() {
     let mut log = Log::new();
-    log.put("a", None, org("a", &[]));
+    log.apply("a", None, org("a", &[]));
     let base = log.current_version("template/standard");
     let name = TemplateName::from_text("standard").expect("a valid name");
-    let verdict = log.put("remove", base, Op::RemoveTemplate(name));
+    let verdict = log.apply("remove", base, Op::RemoveTemplate(name));
     assert_eq!(refusal(&verdict).1, "template standard is used by a");
 }
 
 #[test]
-fn what_does_not_fit_the_accelerators_is_refused() {
+fn models_that_do_not_fit_the_accelerators_are_refused() {
     let mut log = Log::new();
     let both = names(&["small", "large"]);
-    assert!(accepted(&log.put(
+    assert!(accepted(&log.apply(
         "fits",
         None,
         org("o", &[("models", both.clone())])
     )));
     let base = log.current_version("fleet");
-    let verdict = log.put("shrink", base, Op::PutFleet(fleet(1)));
+    let verdict = log.apply("shrink", base, Op::PutFleet(fleet(1)));
     assert!(refusal(&verdict).1.contains("fits no accelerator"));
 }
 
 #[test]
-fn a_removed_organisation_loses_its_tokens_and_cannot_come_back_unseen() {
+fn a_removed_organisation_loses_its_tokens_and_cannot_be_recreated_unnoticed() {
     let mut log = Log::new();
-    log.put("a", None, org("a", &[]));
+    log.apply("a", None, org("a", &[]));
     let token = TokenHash::from_token("t");
     let name = Org::from_text("a").expect("a valid name");
-    log.put(
+    log.apply(
         "token",
         None,
         Op::AddToken {
@@ -243,28 +246,28 @@
     let view = View::from_machine(&log.machine, Offset(log.next));
     assert!(view.caller(&token).is_some());
     let base = log.current_version("organisation/a");
-    log.put("remove", base, Op::RemoveOrganisation(name));
+    log.apply("remove", base, Op::RemoveOrganisation(name));
     let view = View::from_machine(&log.machine, Offset(log.next));
     assert!(view.caller(&token).is_none());
     assert_eq!(
-        refusal(&log.put("back", None, org("a", &[]))).0,
+        refusal(&log.apply("back", None, org("a", &[]))).0,
         ErrorKind::Conflict
     );
 }
 
-/// Which of five names are chosen.
+/// Selects a subset of five names.
 #[derive(Debug, Clone, Copy)]
-struct Chosen([bool; 5]);
+struct Selection([bool; 5]);
 
-impl Arbitrary for Chosen {
+impl Arbitrary for Selection {
     fn arbitrary(g: &mut Gen) -> Self {
         Self([(); 5].map(|()| bool::arbitrary(g)))
     }
 }
 
 #[test]
-fn whatever_is_accepted_is_within_the_bounds() {
-    fn holds(priority: u64, models: Chosen) -> bool {
+fn a_change_is_accepted_exactly_if_it_is_within_the_bounds() {
+    fn accepted_iff_valid(priority: u64, models: Selection) -> bool {
         let mut log = Log::new();
         let list = ["small", "large", "none", "small", "large"];
         let chosen: Vec<&str> = list
@@ -277,19 +280,19 @@
             ("priority", Value::Integer(priority)),
             ("models", names(&chosen)),
         ];
-        let sound = priority <= 9 && chosen.len() <= 4 && !chosen.contains(&"none");
-        accepted(&log.put("c", None, org("o", &values))) == sound
+        let is_valid = priority <= 9 && chosen.len() <= 4 && !chosen.contains(&"none");
+        accepted(&log.apply("c", None, org("o", &values))) == is_valid
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(16, 7))
         .tests(300)
-        .quickcheck(holds as fn(u64, Chosen) -> bool);
+        .quickcheck(accepted_iff_valid as fn(u64, Selection) -> bool);
 }
 
 #[test]
-fn a_snapshot_of_the_state_reads_back_the_same() {
+fn a_serialised_state_round_trips() {
     let mut log = Log::new();
-    log.put("a", None, org("a", &[("models", names(&["small"]))]));
+    log.apply("a", None, org("a", &[("models", names(&["small"]))]));
     let text = serde_json::to_string(&log.machine).expect("it serializes");
     let back: ConfigMachine = serde_json::from_str(&text).expect("it parses");
     assert_eq!(back, log.machine);
--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -29,16 +29,10 @@
 impl fmt::Display for Halt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Newer(v) => write!(
-                f,
-                "a record has version {v}, which is newer than this build supports"
-            ),
+            Self::Newer(v) => write!(f, "record version {v} is newer than this build supports"),
             Self::Broken => f.write_str("an invariant did not hold"),
             Self::Malformed => f.write_str("a record is malformed"),
-            Self::Gap(from) => write!(
-                f,
-                "the log no longer retains the records from offset {from} on"
-            ),
+            Self::Gap(from) => write!(f, "the log no longer has the records from offset {from} on"),
         }
     }
 }
