--- a/crates/config/src/machine.rs
+++ b/crates/config/src/machine.rs
@@ -348,15 +348,13 @@
     }
 
     fn recover_verdict(&self, _writer: WriterId, change: &Change) -> Verdict {
-        let forgotten = || {
+        let unknown = || {
             Verdict::Refused(Refusal {
                 kind: ErrorKind::OutcomeUnknown,
                 faults: vec!["the verdict is no longer remembered".to_owned()],
             })
         };
-        self.verdict_of(&change.id)
-            .cloned()
-            .unwrap_or_else(forgotten)
+        self.verdict_of(&change.id).cloned().unwrap_or_else(unknown)
     }
 }
 
