--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -14,7 +14,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:?} is not a valid name: expected 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or '/'",
+            "{:?} is no name: 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or '/'",
             self.0
         )
     }
