--- a/crates/daemon/src/bin/shalelined.rs
+++ b/crates/daemon/src/bin/shalelined.rs
@@ -62,11 +62,11 @@
             address: node.store,
             timeout: node.gateway.policy.store_timeout,
         });
-        let border = Platform {
+        let platform = Platform {
             codec: Box::new(PlatformCodec),
             store: Box::new(store),
         };
-        let running = start(node.gateway.clone(), border).await?;
+        let running = start(node.gateway.clone(), platform).await?;
         tokio::select! {
             stop = wait_for_signal() => stop?,
             never = follow_settings(&running, path, node) => never?,
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,36 +1,36 @@
-//! Who a request is from, and whether that may be relied on.
+//! Finds the organisation of a request, and decides whether the configuration is recent enough to
+//! rely on.
 //!
-//! A key holds only while it is known that no newer configuration has taken it away. A daemon that
-//! is out of touch stops admitting by itself, by the clock that counts suspension, before the
-//! platform's bound is over. `docs/KEYS.md` argues why nothing runs past it.
+//! A key is valid only while it is known that no newer configuration has revoked it. A daemon that
+//! has lost contact stops admitting by itself before the platform's bound is over, by the clock
+//! that counts suspension. `docs/KEYS.md` argues why no request runs past the bound.
 
 use crate::{Head, OrgRule, Orgs, RouteRule};
 use shaleline_types::{ErrorKind, Millis};
 
-/// What the platform says of keys that are taken away.
+/// The platform's rule for revoked keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Revocation {
-    /// Whether a daemon that can't know stops admitting.
+    /// Whether a daemon that can't know of a revocation stops admitting.
     pub closed: bool,
-    /// The time after which nothing may run that shows such a key.
+    /// The time after which no request with a revoked key may run.
     pub within: Millis,
 }
 
-/// How long ago the configuration in force was the newest for certain; none where that was never
-/// known.
-pub(crate) type Age = Option<Millis>;
+/// The time since the configuration in force was confirmed as the newest; none if it never was.
+pub(crate) type ConfigAge = Option<Millis>;
 
 impl Revocation {
-    /// Whether keys can be relied on: had one been taken away since, the bound would not be over.
-    pub(crate) fn holds(&self, age: Age) -> bool {
+    /// Whether keys can be relied on: the bound for a key that was revoked since is not over.
+    pub(crate) fn holds(&self, age: ConfigAge) -> bool {
         !self.closed || age.is_some_and(|a| a < self.within)
     }
 }
 
-/// Whom a request is from: none where its route asks for no key, or where there are no
+/// The organisation of a request; none if its route asks for no key, or if there are no
 /// organisations.
 ///
-/// An unknown key is refused for good only where the configuration is known as of `apply` ago: it
+/// An unknown key is refused for good only if the configuration is known as of `apply` ago: the key
 /// may have been added since.
 pub(crate) fn authenticate<'a>(
     orgs: Option<&'a Orgs>,
@@ -38,7 +38,7 @@
     head: &Head,
     revocation: Revocation,
     apply: Millis,
-    age: Age,
+    age: ConfigAge,
 ) -> Result<Option<&'a OrgRule>, ErrorKind> {
     let Some(orgs) = orgs else {
         return Ok(None);
--- a/crates/gateway/src/admit.rs
+++ b/crates/gateway/src/admit.rs
@@ -1,4 +1,4 @@
-//! Finds out whose a request is, charges it, and looks again before it is sent.
+//! Authenticates a request, charges it to its organisation, and checks it again before it is sent.
 
 use crate::admission;
 use crate::job::Job;
@@ -20,7 +20,7 @@
         Ok(job)
     }
 
-    /// Whom a request is from by the configuration in force now.
+    /// The organisation of a request, by the configuration in force now.
     pub(crate) fn authenticate<'a>(
         &self,
         table: &'a Table,
@@ -34,7 +34,7 @@
         org.map_err(Refusal::new)
     }
 
-    /// Looks again whether a request that waited may be sent: its key may have been taken away.
+    /// Checks again whether a request that waited may be sent: its key may have been revoked.
     pub(crate) fn recheck(&self, job: &Job) -> Result<(), Refusal> {
         let Some(table) = self.table() else {
             return Err(Refusal::new(ErrorKind::NotReady));
--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -1,7 +1,8 @@
-//! Charges requests to their organisations' allowances, and grants from the part kept here.
+//! Charges requests to their organisations' allowances, and grants from the share that this daemon
+//! keeps.
 //!
-//! `shaleline_route` decides ([`Draw`], [`Granter`]); here is who keeps which part, and the
-//! messages between daemons. `docs/ALLOWANCES.md` has the ways that were weighed.
+//! `shaleline_route` decides ([`Draw`], [`Granter`]); this module finds the allocators and
+//! exchanges the messages between daemons. `docs/ALLOWANCES.md` compares the alternatives.
 
 use crate::dispatch::Ticket;
 use crate::journal::emit;
@@ -15,85 +16,87 @@
 use std::net::SocketAddr;
 use tokio::sync::oneshot;
 
-/// Without an answer for so long another granter is asked: daemons are a millisecond apart, and a
-/// busy one answers within some ten.
-const ANSWER_MS: u64 = 60;
+/// Time without an answer after which another allocator is asked: daemons are a millisecond apart,
+/// and a busy one answers within some ten.
+const ANSWER_TIMEOUT_MS: u64 = 60;
 
-/// One that did not answer is asked last for so long.
-const DOUBT_MS: u64 = 500;
+/// Time for which an allocator that did not answer is asked last.
+const AVOID_MS: u64 = 500;
 
-/// That an organisation has used up the part kept here is logged no more often than this.
-const SAY_AGAIN_MS: u64 = 10_000;
+/// Minimum interval between log lines about an organisation that has used up the share kept here.
+const LOG_INTERVAL_MS: u64 = 10_000;
 
-/// A question to a granter.
-struct Asked {
+/// A request to an allocator that has not been answered.
+struct PendingDraw {
     org: Org,
-    tell: oneshot::Sender<DrawReply>,
+    sender: oneshot::Sender<DrawReply>,
 }
 
-/// What a daemon keeps of allowances, has in advance, and has asked for.
+/// The share of the allowances that this daemon keeps, its credits from other daemons, and its
+/// pending requests to them.
 pub(crate) struct Allowances {
-    pub(crate) granter: Granter,
+    pub(crate) allocator: Granter,
     credits: Credits,
-    asked: HashMap<u64, Asked>,
-    next: u64,
-    /// Those that did not answer, and until when they are asked last.
-    doubt: HashMap<SocketAddr, Millis>,
-    /// When it was last logged that an organisation has used up its part.
-    said: HashMap<Org, Millis>,
+    pending: HashMap<u64, PendingDraw>,
+    next_id: u64,
+    /// Allocators that did not answer, and until when they are asked last.
+    avoided: HashMap<SocketAddr, Millis>,
+    /// When it was last logged that an organisation has used up its share.
+    logged: HashMap<Org, Millis>,
 }
 
 impl Allowances {
     pub(crate) fn new(tolerance: Tolerance) -> Self {
         Self {
-            granter: Granter::new(tolerance),
+            allocator: Granter::new(tolerance),
             credits: Credits::default(),
-            asked: HashMap::new(),
-            next: 0,
-            doubt: HashMap::new(),
-            said: HashMap::new(),
+            pending: HashMap::new(),
+            next_id: 0,
+            avoided: HashMap::new(),
+            logged: HashMap::new(),
         }
     }
 
-    /// Drops what was granted under another allowance.
+    /// Drops credits that were granted under another allowance.
     pub(crate) fn keep(&mut self, same: impl Fn(&Org) -> bool) {
         self.credits.keep(same);
     }
 
-    /// Forgets what time has passed over, and questions whose caller has gone.
+    /// Drops expired entries, and pending requests whose caller left.
     pub(crate) fn prune(&mut self, now: Millis) {
         self.credits.prune(now);
-        self.asked.retain(|_, a| !a.tell.is_closed());
-        self.doubt.retain(|_, until| now < *until);
-        self.said.retain(|_, at| now.since(*at) < SAY_AGAIN_MS);
+        self.pending.retain(|_, a| !a.sender.is_closed());
+        self.avoided.retain(|_, until| now < *until);
+        self.logged.retain(|_, at| now.since(*at) < LOG_INTERVAL_MS);
     }
 
-    /// Whether it may be logged that an organisation has used up its part.
-    fn may_say(&mut self, org: &Org, now: Millis) -> bool {
-        let said = self.said.get(org);
-        let due = said.is_none_or(|at| now.since(*at) >= SAY_AGAIN_MS);
+    /// Whether it may be logged that an organisation has used up its share.
+    fn may_log(&mut self, org: &Org, now: Millis) -> bool {
+        let logged = self.logged.get(org);
+        let due = logged.is_none_or(|at| now.since(*at) >= LOG_INTERVAL_MS);
         if due {
-            self.said.insert(org.clone(), now);
+            self.logged.insert(org.clone(), now);
         }
         due
     }
 
-    /// What is in advance, as it is told: nothing more is wanted while a question is open.
+    /// The credit that is reported to an allocator; the maximum while a request is pending, so that
+    /// no further credit is granted.
     fn held(&self, org: &Org) -> u64 {
-        match self.asked.values().any(|a| a.org == *org) {
+        match self.pending.values().any(|a| a.org == *org) {
             true => u64::MAX,
             false => self.credits.held(org),
         }
     }
 }
 
-/// What a request was charged.
+/// The charge for a request.
 #[derive(Debug)]
 pub(crate) struct Charge {
     org: Org,
     cost: u64,
-    /// Who granted it, where that is another daemon.
-    granter: Option<SocketAddr>,
+    /// The daemon that granted it, if that is another one.
+    allocator: Option<SocketAddr>,
 }
 
 impl Gateway {
@@ -108,9 +111,9 @@
         };
         let (org, cost) = (&rule.name, rule.cost(tokens));
         let me = self.me.address;
-        let mut draw = Draw::new(org.clone(), cost, &self.granters());
-        let mut step = self.next_granter(&mut draw);
-        let mut granter = None;
+        let mut draw = Draw::new(org.clone(), cost, &self.allocators());
+        let mut step = self.next_step(&mut draw);
+        let mut allocator = None;
         loop {
             step = match step {
                 DrawStep::Admit => break,
@@ -129,25 +132,25 @@
                 }
                 DrawStep::Ask(at) => match self.draw_from(at, org, cost).await {
                     Some(DrawReply::Granted(_, amount)) => {
-                        granter = Some(at);
+                        allocator = Some(at);
                         self.on_grant(&mut draw, Grant::Granted(amount))
                     }
                     Some(DrawReply::Denied(wait)) => {
                         let wait = Millis(u64::from(wait));
                         self.on_grant(&mut draw, Grant::Denied(wait))
                     }
-                    Some(DrawReply::Unknown) | None => self.next_granter(&mut draw),
+                    Some(DrawReply::Unknown) | None => self.next_step(&mut draw),
                 },
             };
         }
         Ok(Some(Charge {
             org: org.clone(),
             cost,
-            granter,
+            allocator,
         }))
     }
 
-    fn next_granter(&self, draw: &mut Draw) -> DrawStep {
+    fn next_step(&self, draw: &mut Draw) -> DrawStep {
         draw.next(&mut self.allowances.borrow_mut().credits, self.now())
     }
 
@@ -156,26 +159,27 @@
         draw.on_grant(grant, credits, self.now())
     }
 
-    /// Those to ask, whoever did not answer a moment ago last.
-    fn granters(&self) -> Vec<SocketAddr> {
+    /// The allocators in the order in which to ask them; those that recently did not answer are
+    /// last.
+    fn allocators(&self) -> Vec<SocketAddr> {
         let now = self.now();
         let mut all = self.mesh.borrow_mut().granters(now);
         let allowances = self.allowances.borrow();
-        let doubted = |a: &SocketAddr| allowances.doubt.get(a).is_some_and(|until| now < *until);
-        all.sort_by_key(doubted);
+        let avoided = |a: &SocketAddr| allowances.avoided.get(a).is_some_and(|until| now < *until);
+        all.sort_by_key(avoided);
         all
     }
 
-    /// Asks another daemon; none where it does not answer.
+    /// Asks another daemon for a grant; none if it does not answer.
     async fn draw_from(&self, at: SocketAddr, org: &Org, cost: u64) -> Option<DrawReply> {
-        let (tell, told) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         let (ticket, held) = {
             let mut allowances = self.allowances.borrow_mut();
             let held = allowances.held(org);
-            let id = allowances.next;
-            allowances.next += 1;
+            let id = allowances.next_id;
+            allowances.next_id += 1;
             let org = org.clone();
-            allowances.asked.insert(id, Asked { org, tell });
+            allowances.pending.insert(id, PendingDraw { org, sender });
             let incarnation = self.me.life;
             (Ticket { incarnation, id }, held)
         };
@@ -186,28 +190,28 @@
             held,
         };
         self.send(vec![(at, message)]);
-        let limit = self.now().plus(ANSWER_MS);
+        let limit = self.now().plus(ANSWER_TIMEOUT_MS);
         let reply = self
             .clock
-            .timeout_at(limit, told)
+            .timeout_at(limit, receiver)
             .await
             .and_then(Result::ok);
         if reply.is_none() {
             let mut allowances = self.allowances.borrow_mut();
-            allowances.asked.remove(&ticket.id);
-            allowances.doubt.insert(at, limit.plus(DOUBT_MS));
+            allowances.pending.remove(&ticket.id);
+            allowances.avoided.insert(at, limit.plus(AVOID_MS));
         }
         reply
     }
 
-    /// Grants from the part that is kept here.
+    /// Grants from the share that is kept here.
     fn grant(&self, org: &Org, allowance: &Allowance, cost: u64, held: u64) -> Grant {
         let now = self.now();
         let mut allowances = self.allowances.borrow_mut();
-        let grant = allowances.granter.ask(org, allowance, cost, held, now);
+        let grant = allowances.allocator.ask(org, allowance, cost, held, now);
         if let Grant::Denied(wait) = grant {
-            if allowances.may_say(org, now) {
-                let part = allowances.granter.part().of_all;
+            if allowances.may_log(org, now) {
+                let part = allowances.allocator.part().of_all;
                 let version = self.table().map_or(0, |t| t.version);
                 let wait = wait.0;
                 emit(
@@ -221,7 +225,7 @@
         grant
     }
 
-    /// Answers a daemon that needs a part of an allowance.
+    /// Handles another daemon's request for a grant.
     pub(crate) fn handle_draw(
         &self,
         from: &Sender,
@@ -242,14 +246,14 @@
         self.send(vec![(from.address, Message::Drawn(ticket, reply))]);
     }
 
-    /// Takes in a granter's answer. What comes too late for its request goes back.
+    /// Handles an allocator's answer. A grant that is too late for its request is returned.
     pub(crate) fn handle_draw_reply(&self, from: &Sender, ticket: Ticket, reply: DrawReply) {
-        let asked = match ticket.incarnation == self.me.life {
-            true => self.allowances.borrow_mut().asked.remove(&ticket.id),
+        let pending = match ticket.incarnation == self.me.life {
+            true => self.allowances.borrow_mut().pending.remove(&ticket.id),
             false => None,
         };
-        let late = match asked {
-            Some(asked) => asked.tell.send(reply).err(),
+        let late = match pending {
+            Some(pending) => pending.sender.send(reply).err(),
             None => Some(reply),
         };
         if let Some(DrawReply::Granted(org, amount)) = late {
@@ -257,32 +261,36 @@
         }
     }
 
-    /// Gives back what a request was charged that did not run.
-    pub(crate) fn give_back(&self, charge: &Charge) {
-        let Charge { org, cost, granter } = charge;
-        match granter {
-            Some(granter) => {
+    /// Returns the charge of a request that did not run.
+    pub(crate) fn refund(&self, charge: &Charge) {
+        let Charge {
+            org,
+            cost,
+            allocator,
+        } = charge;
+        match allocator {
+            Some(allocator) => {
                 let message = Message::GivenBack {
                     org: org.clone(),
                     amount: *cost,
                 };
-                self.send(vec![(*granter, message)]);
+                self.send(vec![(*allocator, message)]);
             }
             None => self.handle_refund(org, *cost),
         }
     }
 
-    /// Takes back what was granted here.
+    /// Handles the return of a grant made here.
     pub(crate) fn handle_refund(&self, org: &Org, amount: u64) {
         let Some(allowance) = self.table().and_then(|t| t.allowance(org)) else {
             return;
         };
         let mut allowances = self.allowances.borrow_mut();
         let now = self.now();
-        allowances.granter.give_back(org, &allowance, amount, now);
+        allowances.allocator.give_back(org, &allowance, amount, now);
     }
 
-    /// Takes over the part of the allowances that this daemon keeps now.
+    /// Updates the share of the allowances that this daemon keeps.
     pub(crate) fn share_allowances(&self) {
         let now = self.now();
         let Some(table) = self.table().filter(|t| t.orgs.is_some()) else {
@@ -292,10 +300,10 @@
         let part = self.mesh.borrow_mut().granted_part(centres, now);
         let mut allowances = self.allowances.borrow_mut();
         allowances
-            .granter
+            .allocator
             .set_tolerance(self.bounds.borrow().tolerance);
         allowances
-            .granter
+            .allocator
             .set_part(part, |org| table.allowance(org), now);
     }
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream.
+//! One attempt to send a request to an upstream.
 
 use crate::crash_probe::SentAttempt;
 use crate::job::Job;
@@ -17,30 +17,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The largest answer that is no stream.
-const MOST_BYTES: usize = 64 << 20;
+/// The largest answer that is not a stream, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// How long a connection is kept where the upstream does not say.
-const KEEP: Duration = Duration::from_secs(4);
+/// Time for which an idle connection is kept if the upstream names none.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// A kept connection is given up so much before the upstream closes it.
-const KEEP_MARGIN: Duration = Duration::from_millis(1_000);
+/// A kept connection is closed this long before the upstream closes it.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// The tasks of one stream hold so many pieces between the upstream and the caller.
-const PIECES: usize = 8;
+/// Number of stream pieces that are buffered between the upstream and the caller.
+const STREAM_BUFFER: usize = 8;
 
-/// How a send ended.
-pub(crate) enum Ended {
-    /// The caller has its answer, or is getting it.
+/// The result of an attempt.
+pub(crate) enum Outcome {
+    /// The caller has its answer, or the answer is being streamed.
     Answered(Reply),
-    /// There is no answer; the router decides what comes next.
+    /// There is no answer; the router decides on the next step.
     Unanswered(Permit),
-    /// The upstream answered with a failure, which the caller gets unless another
-    /// upstream does better.
+    /// The upstream answered with a failure, which is passed to the caller unless another upstream
+    /// succeeds.
     Failed(Permit, Reply),
 }
 
-/// The head and what is known of its body.
+/// An exchange whose head has arrived, and what the head says about the body.
 pub(crate) struct Opened {
     pub(crate) exchange: Exchange,
     pub(crate) answer: AnswerHead,
@@ -48,31 +48,31 @@
     pub(crate) status: StatusCode,
 }
 
-/// How long to keep a connection on which this answer came.
+/// How long to keep the connection on which this answer arrived.
 pub(crate) fn idle_timeout(answer: &AnswerHead) -> Duration {
     match answer.keep {
-        None => KEEP,
-        Some(keep) if keep > 2 * KEEP_MARGIN => keep - KEEP_MARGIN,
+        None => DEFAULT_KEEP_ALIVE,
+        Some(keep) if keep > 2 * KEEP_ALIVE_MARGIN => keep - KEEP_ALIVE_MARGIN,
         Some(keep) => keep / 2,
     }
 }
 
-/// Why a send has no usable answer.
+/// Why an attempt has no usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Failure {
     /// See [`SendError::NotSent`].
     NotSent,
     /// See [`SendError::Broken`].
     Broken,
-    /// The upstream ended under it.
+    /// The upstream ended during the attempt.
     Ended,
-    /// The answer belongs to another request, is not signed, or is no upstream's body.
+    /// The answer belongs to another request, is not signed, or its body is not an upstream's.
     Garbled,
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not run the request.
     Refused(u16),
-    /// The request went elsewhere meanwhile, since this upstream hangs.
+    /// The router moved the request to another upstream because this one hangs.
     Moved,
-    /// Its time is over.
+    /// The deadline has passed.
     Late,
 }
 
@@ -112,7 +112,7 @@
     };
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.method.clone();
-    // The path came out of a parsed request line.
+    // The path was taken from a parsed request line.
     if let Ok(uri) = job.path.parse() {
         *request.uri_mut() = uri;
     }
@@ -120,7 +120,7 @@
     request
 }
 
-/// Sends the request and waits for an answer's head that belongs to it.
+/// Sends the request and waits for the head of an answer that belongs to it.
 pub(crate) async fn open(
     gw: &Gateway,
     job: &Job,
@@ -165,16 +165,16 @@
     })
 }
 
-/// Reads what is left of an answer, so that its connection can be kept.
+/// Reads the rest of an answer, so that its connection can be reused.
 async fn drain(mut exchange: Exchange, answer: &AnswerHead) {
-    const SMALL: usize = 16_384;
-    if exchange.collect(SMALL).await.is_ok() {
+    const SMALL_BYTES: usize = 16_384;
+    if exchange.collect(SMALL_BYTES).await.is_ok() {
         exchange.finish(idle_timeout(answer));
     }
 }
 
 fn note_load(gw: &Gateway, upstream: &Upstream, answer: &AnswerHead) {
-    // Engines' places are counted by the daemons' own notes, which do not lag as much.
+    // The slots of engines are counted by the daemons' own reports, which lag less.
     let plain = gw
         .roster
         .borrow()
@@ -193,37 +193,37 @@
     }
 }
 
-/// Sends the request once and brings back its answer.
+/// Sends the request once and returns its answer.
 pub(crate) async fn send(
     gw: &Rc<Gateway>,
     job: &Rc<Job>,
     mut permit: Permit,
     attempt: AttemptNumber,
     upstream: &Upstream,
-) -> Ended {
+) -> Outcome {
     permit.sends += 1;
     permit.reached += 1;
     permit.last = Some(upstream.clone());
     let sent = gw.begin_send(attempt, upstream);
     let result = if job.rule.repeat.is_stream() {
-        let opened = first_piece(gw, job, &mut permit, upstream).await;
+        let opened = open_stream(gw, job, &mut permit, upstream).await;
         match opened {
-            Ok(begun) => return stream(gw, job, permit, sent, begun).await,
+            Ok(started) => return start_stream(gw, job, permit, sent, started).await,
             Err(failure) => Err(failure),
         }
     } else {
-        whole(gw, job, &mut permit, attempt, upstream).await
+        send_whole(gw, job, &mut permit, attempt, upstream).await
     };
     match result {
         Ok((reply, status)) => finish(gw, job, permit, attempt, reply, status),
         Err(failure) => {
             fail(gw, job, &mut permit, &sent, failure).await;
-            Ended::Unanswered(permit)
+            Outcome::Unanswered(permit)
         }
     }
 }
 
-/// Notes that a send failed, once it is known whether its upstream ended under it.
+/// Records that an attempt failed, after checking whether its upstream ended.
 pub(crate) async fn fail(
     gw: &Gateway,
     job: &Job,
@@ -239,7 +239,7 @@
     note_failure(gw, job, permit, sent, failure);
 }
 
-/// The same where it is known already.
+/// Records that an attempt failed, where it is known whether its upstream ended.
 pub(crate) fn note_failure(
     gw: &Gateway,
     job: &Job,
@@ -269,7 +269,7 @@
              first_ms={} route={}",
             job.head.id,
             job.identity.request,
-            permit.first_text(job),
+            permit.time_to_first_text(job),
             job.rule.name
         );
         emit(LogEvent::SendFailed, &detail);
@@ -282,9 +282,9 @@
     }
 }
 
-/// Runs a step of a send until it is done, the router moves the request elsewhere, or its
-/// time is over.
-async fn guard<T>(
+/// Runs a step of an attempt until it completes, the router moves the request to another upstream,
+/// or its deadline passes.
+async fn run_step<T>(
     gw: &Gateway,
     job: &Job,
     permit: &mut Permit,
@@ -300,7 +300,7 @@
     }
 }
 
-async fn whole(
+async fn send_whole(
     gw: &Gateway,
     job: &Job,
     permit: &mut Permit,
@@ -309,10 +309,10 @@
 ) -> Result<(Reply, StatusCode), Failure> {
     let step = async {
         let mut opened = open(gw, job, upstream, None).await?;
-        let body = opened.exchange.collect(MOST_BYTES).await?;
+        let body = opened.exchange.collect(MAX_BODY_BYTES).await?;
         Ok((opened, body))
     };
-    let (opened, body) = guard(gw, job, permit, step).await?;
+    let (opened, body) = run_step(gw, job, permit, step).await?;
     permit.first_byte(attempt);
     let Opened {
         exchange,
@@ -327,8 +327,8 @@
     Ok((reply, status))
 }
 
-/// Ends the request with an upstream's answer. A failure of its own is passed on, but
-/// what may be repeated is tried elsewhere first.
+/// Ends the request with an upstream's answer. An upstream's failure is passed to the caller, but
+/// an idempotent request is tried at another upstream first.
 fn finish(
     gw: &Gateway,
     job: &Job,
@@ -336,57 +336,57 @@
     attempt: AttemptNumber,
     reply: Reply,
     status: StatusCode,
-) -> Ended {
+) -> Outcome {
     if status.is_server_error() {
         permit.end(attempt, End::Broken);
         if job.is_idempotent() {
-            return Ended::Failed(permit, reply);
+            return Outcome::Failed(permit, reply);
         }
         log_end(gw, job, &permit, LogEvent::RequestFailed, "upstream-answer");
         gw.metrics.count_request("upstream-answer");
-        return Ended::Answered(reply);
+        return Outcome::Answered(reply);
     }
     permit.end(attempt, End::Whole);
-    gw.metrics.note_first(gw.now().since(job.arrived));
+    gw.metrics.note_first_byte(gw.now().since(job.arrived));
     gw.metrics.count_request("ok");
     log_end(gw, job, &permit, LogEvent::RequestEnded, "ok");
-    Ended::Answered(reply)
+    Outcome::Answered(reply)
 }
 
-async fn first_piece(
+async fn open_stream(
     gw: &Gateway,
     job: &Job,
     permit: &mut Permit,
     upstream: &Upstream,
-) -> Result<Begun, Failure> {
+) -> Result<StartedStream, Failure> {
     let step = async {
         let mut opened = open(gw, job, upstream, None).await?;
         let first = opened.exchange.next().await?;
-        Ok(Begun { opened, first })
+        Ok(StartedStream { opened, first })
     };
-    guard(gw, job, permit, step).await
+    run_step(gw, job, permit, step).await
 }
 
-/// A stream whose first piece has come.
-struct Begun {
+/// A stream whose first piece has arrived.
+struct StartedStream {
     opened: Opened,
     first: Option<Bytes>,
 }
 
-async fn stream(
+async fn start_stream(
     gw: &Rc<Gateway>,
     job: &Rc<Job>,
     mut permit: Permit,
     sent: SentAttempt,
-    begun: Begun,
-) -> Ended {
+    started: StartedStream,
+) -> Outcome {
     permit.first_byte(sent.attempt);
-    let Begun { mut opened, first } = begun;
+    let StartedStream { mut opened, first } = started;
     if !opened.status.is_success() {
         return failed_stream(gw, job, permit, &sent, opened, first).await;
     }
-    gw.metrics.note_first(gw.now().since(job.arrived));
-    let (sender, body) = ReplyBody::channel(PIECES, None);
+    gw.metrics.note_first_byte(gw.now().since(job.arrived));
+    let (sender, body) = ReplyBody::channel(STREAM_BUFFER, None);
     let mut reply = Response::new(body);
     *reply.headers_mut() = std::mem::take(&mut opened.headers);
     *reply.status_mut() = opened.status;
@@ -398,10 +398,11 @@
         sender,
     };
     actix_rt::spawn(relay.run(opened, first));
-    Ended::Answered(reply)
+    Outcome::Answered(reply)
 }
 
-/// A stream that the upstream answered with a failure has a short whole body.
+/// Completes a stream that the upstream answered with a failure, which has a short body that is
+/// read whole.
 async fn failed_stream(
     gw: &Gateway,
     job: &Job,
@@ -409,13 +410,13 @@
     sent: &SentAttempt,
     mut opened: Opened,
     first: Option<Bytes>,
-) -> Ended {
+) -> Outcome {
     let mut body = first.unwrap_or_default().to_vec();
-    match opened.exchange.collect(MOST_BYTES).await {
+    match opened.exchange.collect(MAX_BODY_BYTES).await {
         Ok(rest) => body.extend_from_slice(&rest),
         Err(e) => {
             fail(gw, job, &mut permit, sent, e.into()).await;
-            return Ended::Unanswered(permit);
+            return Outcome::Unanswered(permit);
         }
     }
     let mut reply = Response::new(ReplyBody::from_bytes(body.into()));
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -1,5 +1,5 @@
-//! The trait through which the platform's formats are met: bytes and headers in, typed
-//! messages out, and back. An implementation decides nothing.
+//! The trait that translates between the platform's formats and typed messages. An implementation
+//! decides nothing.
 
 use crate::Table;
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A message that can't be understood, and why.
+/// A message that can't be parsed, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -25,20 +25,21 @@
 
 impl std::error::Error for Malformed {}
 
-/// What the headers of a request say.
+/// The headers of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The caller's identity for this attempt.
+    /// The caller's id for this attempt.
     pub id: String,
     /// How long the caller waits.
     pub patience: Option<Millis>,
-    /// The model asked for.
+    /// The requested model.
     pub model: Option<Model>,
-    /// The adapter asked for on top of it.
+    /// The requested adapter of the model.
     pub adapter: Option<Adapter>,
-    /// The caller's API key; none where it shows none, several, or what can be no key.
+    /// The hash of the caller's API key; none if there is no key, several, or one that can't be
+    /// valid.
     pub key: Option<KeyHash>,
-    /// Whether it says how many tokens it may take.
+    /// Whether the headers give the token counts.
     pub counted: bool,
     /// The tokens of the prompt.
     pub prompt: u64,
@@ -49,7 +50,7 @@
 }
 
 impl Head {
-    /// The most tokens that it takes, where it says so.
+    /// The most tokens that the request may use, if the headers say so.
     #[must_use]
     pub fn tokens(&self) -> Option<u64> {
         let tokens = self.prompt.saturating_add(self.output);
@@ -57,35 +58,35 @@
     }
 }
 
-/// What the gateway adds to a request that it passes on.
+/// What the gateway adds to a request that it forwards.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForwardContext {
-    /// The time that is left.
+    /// The time until the deadline.
     pub left: Millis,
-    /// The upstream that is meant, so that another at its address refuses.
+    /// The addressed upstream, so that another one at its address refuses.
     pub upstream: Upstream,
     /// The organisation whose request it is.
     pub org: Option<Org>,
     /// The rank at the engine, 0 to 9; 0 is served first.
     pub rank: Option<u8>,
-    /// The last event that the caller has, where a stream is resumed.
+    /// The last event that the caller has, if a stream is resumed.
     pub resume: Option<String>,
 }
 
-/// What the headers of an upstream's answer say.
+/// The head of an upstream's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The request that it answers.
+    /// The id of the request that it answers.
     pub id: Option<String>,
     /// Whether the upstream signed it.
     pub signed: bool,
-    /// Whether the upstream says that the request did not run.
+    /// Whether the upstream reports that the request did not run.
     pub not_run: bool,
-    /// Requests running, waiting, and the places.
+    /// The numbers of running and waiting requests, and of slots.
     pub load: Option<(usize, usize, usize)>,
-    /// How long the upstream keeps an idle connection; zero where it closes it.
+    /// How long the upstream keeps an idle connection; zero if it closes it.
     pub keep: Option<Duration>,
-    /// The upstream that answers, where it says so: another than was meant has taken over
+    /// The upstream that answers, if named. It differs from the addressed one if it has taken over
     /// the address.
     pub instance: Option<String>,
     /// Whether the body is encoded, which no upstream does.
@@ -97,21 +98,21 @@
 pub struct Entry {
     /// Its service.
     pub service: Service,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its data centre.
     pub centre: DataCentre,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: usize,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// What it holds; none for a plain service.
+    /// The models and adapters that it holds; none for a plain service.
     pub held: Option<Held>,
-    /// Which start of it this is about.
+    /// The incarnation of the upstream that the entry describes.
     pub incarnation: Incarnation,
 }
 
-/// A call to an upstream that is no caller's request.
+/// A call to an upstream that is not a caller's request.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// The method.
@@ -126,49 +127,49 @@
 
 /// Translates between the platform's messages and the gateway's.
 pub trait Codec {
-    /// Reads a version of the configuration.
+    /// Parses a version of the configuration.
     ///
     /// # Errors
-    /// Where it can't be understood; the version before stays in force.
+    /// If it can't be parsed; the previous version stays in force.
     fn table(&self, bytes: &[u8]) -> Result<Table, Malformed>;
 
-    /// Reads an upstream's entry.
+    /// Parses an upstream's entry.
     ///
     /// # Errors
-    /// Where it can't be understood: it names no upstream to use.
+    /// If it can't be parsed: it names no usable upstream.
     fn entry(&self, bytes: &[u8]) -> Result<Entry, Malformed>;
 
-    /// Reads the headers of a request.
+    /// Parses the headers of a request.
     ///
     /// # Errors
-    /// Where a header that decides where the request goes is malformed.
+    /// If a header that the routing depends on is malformed.
     fn head(&self, headers: &HeaderMap) -> Result<Head, Malformed>;
 
-    /// The headers of a request as they are passed on.
+    /// The headers of a request as they are forwarded.
     fn forward(&self, headers: &HeaderMap, passage: &ForwardContext) -> HeaderMap;
 
-    /// Reads the head of an upstream's answer.
+    /// Parses the head of an upstream's answer.
     fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// The headers of an answer as they are passed back.
+    /// The headers of an upstream's answer as they are passed to the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// The headers of the gateway's own answers: the request and when to come back.
+    /// The headers of the gateway's own answers, with the request's id and the retry-after time.
     fn refusal(&self, id: &str, retry: Option<Millis>) -> HeaderMap;
 
     /// An order as a call to its engine.
     fn order(&self, order: &Order) -> Call;
 
-    /// Reads the answer to an order.
+    /// Parses the answer to an order.
     fn order_reply(&self, status: StatusCode) -> OrderReply;
 
-    /// The call that asks an engine what it holds.
+    /// The call that asks an engine which models and adapters it holds.
     fn report(&self, upstream: &Upstream) -> Call;
 
-    /// Reads what an engine reports to hold.
+    /// Parses an engine's report of the models and adapters that it holds.
     ///
     /// # Errors
-    /// Where it can't be understood.
+    /// If it can't be parsed.
     fn held(&self, bytes: &[u8]) -> Result<Held, Malformed>;
 
     /// The path at which the platform asks whether this daemon takes work.
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question, metrics and the state dump.
+//! Serves the readiness check, the metrics and the state dump.
 
 use crate::state::Gateway;
 use bytes::Bytes;
@@ -18,10 +18,10 @@
 /// The path of the state dump.
 const STATE: &str = "/state";
 
-/// A call to this path, with a request's digest behind it, forgets what ended under that request.
+/// Prefix of the path at which operators clear the crash records of a request; its digest follows.
 const CLEAR: &str = "/suspects/clear/";
 
-/// Answers what is no caller's request.
+/// Handles requests on the control sockets.
 pub(crate) struct Control {
     gw: Rc<Gateway>,
     /// Whether operators call here, and not only the balancer.
@@ -51,7 +51,7 @@
     }
 }
 
-/// Forgets what ended under a request, here and in all daemons.
+/// Clears the crash records of a request, here and in all daemons.
 fn clear(gw: &Gateway, digest: &str) -> (StatusCode, String) {
     let records = gw.router.borrow().crashes().records(gw.now());
     let found = records.iter().map(|r| r.request);
@@ -82,7 +82,7 @@
     }
 }
 
-/// What this daemon believes, for operators.
+/// The state of this daemon, for operators.
 fn dump(gw: &Gateway) -> String {
     let now = gw.now();
     let upstreams = gw.router.borrow().upstreams(now);
@@ -107,12 +107,12 @@
         })
     };
     let allowances = gw.allowances.borrow();
-    let levels = allowances.granter.levels();
+    let levels = allowances.allocator.levels();
     let levels = levels.map(|(org, level)| (org.to_string(), json!(level.round())));
     json!({
         "keys": {"known": gw.knows_keys(), "age_ms": gw.config_age().map(|a| a.0),
             "organisations": gw.table().and_then(|t| Some(t.orgs.as_ref()?.iter().count()))},
-        "allowances": {"part": allowances.granter.part().of_all,
+        "allowances": {"part": allowances.allocator.part().of_all,
             "left": levels.collect::<serde_json::Map<_, _>>()},
         "instance": gw.me.instance.as_str(),
         "ready": gw.is_ready(),
--- a/crates/gateway/src/crash_probe.rs
+++ b/crates/gateway/src/crash_probe.rs
@@ -1,8 +1,8 @@
-//! Whether an upstream ended when a send to it broke off.
+//! Finds out whether an upstream crashed when an attempt broke off.
 //!
-//! A connection breaks for many reasons: it was reset, its way was cut, the upstream hangs, sheds
-//! connections or breaks off one answer. Only where nothing listens at its address any more, and
-//! nobody said that it would leave, did it end under what it had to do.
+//! A connection breaks for many reasons: it was reset, the network failed, or the upstream hangs,
+//! sheds connections or breaks off one answer. An upstream counts as crashed only if nothing
+//! listens at its address any more and it was not announced that it would leave.
 
 use crate::journal::emit;
 use crate::state::Gateway;
@@ -14,37 +14,39 @@
 use std::time::Duration;
 use tokio::sync::OnceCell;
 
-/// How long a connection may take that shows whether an upstream still listens: a refusal takes
-/// one way there and back, some milliseconds; the caller waits meanwhile. A second one follows where
-/// the first gets no answer: on a link that loses one packet in forty an end would go unseen as often.
-const LIMITS: [Duration; 2] = [Duration::from_millis(60), Duration::from_millis(90)];
+/// Timeouts of the connections that show whether an upstream still listens. A refusal takes one
+/// round trip of some milliseconds, and the caller waits meanwhile. A second connection follows if
+/// the first gets no answer: on a link that loses one packet in forty, as many crashes would be
+/// missed with one.
+const PROBE_TIMEOUTS: [Duration; 2] = [Duration::from_millis(60), Duration::from_millis(90)];
 
-/// What was seen holds for sends that broke off within so long: they end with the upstream, at one
-/// moment, and are noticed within one round of tasks of a busy instance.
-const SAME_MS: u64 = 300;
+/// Time for which a probe's result holds for other attempts that broke off: they break off together
+/// with the upstream, and are noticed within one round of tasks of a busy instance.
+const PROBE_VALID_MS: u64 = 300;
 
-/// What was seen last of an upstream, and when that was asked.
-type Seen = Rc<OnceCell<Reach>>;
+/// The result of a probe, which several attempts may wait for.
+type ProbeResult = Rc<OnceCell<Reach>>;
 
-/// What was seen of upstreams to which sends broke off.
+/// The recent probes of upstreams, each with its time.
 #[derive(Debug, Default)]
 pub(crate) struct CrashProbes {
-    looks: HashMap<StartTag, (Millis, Seen)>,
+    probes: HashMap<StartTag, (Millis, ProbeResult)>,
 }
 
 impl CrashProbes {
-    /// The look at a start of an upstream, which sends that break off together share.
-    fn look(&mut self, start: StartTag, now: Millis) -> Seen {
-        self.looks.retain(|_, (at, _)| now.since(*at) < SAME_MS);
+    /// The probe of an incarnation of an upstream, which attempts that break off together share.
+    fn probe(&mut self, start: StartTag, now: Millis) -> ProbeResult {
+        self.probes
+            .retain(|_, (at, _)| now.since(*at) < PROBE_VALID_MS);
         let (_, seen) = self
-            .looks
+            .probes
             .entry(start)
-            .or_insert_with(|| (now, Seen::default()));
+            .or_insert_with(|| (now, ProbeResult::default()));
         Rc::clone(seen)
     }
 }
 
-/// One send: to which upstream, and which start of it.
+/// An attempt, with its upstream and the upstream's incarnation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SentAttempt {
     pub(crate) attempt: AttemptNumber,
@@ -53,8 +55,8 @@
 }
 
 impl Gateway {
-    /// A send that begins now. Which start of the upstream it is for is asked before it: when the
-    /// send breaks off, the next start may be known already.
+    /// Records the beginning of an attempt. The upstream's incarnation is read before the attempt:
+    /// when it breaks off, the next incarnation may be known already.
     pub(crate) fn begin_send(&self, attempt: AttemptNumber, upstream: &Upstream) -> SentAttempt {
         let listed = self.roster.borrow().get(upstream).map(|e| e.incarnation);
         let incarnation = listed.unwrap_or_default();
@@ -65,7 +67,7 @@
         }
     }
 
-    /// What an engine said of itself may be newer than its entry.
+    /// The latest incarnation known: an engine's own report may be newer than its entry.
     fn latest(&self, upstream: &Upstream, listed: Incarnation) -> Incarnation {
         let seen = self.start_of(upstream).1;
         match seen.against(listed) {
@@ -74,30 +76,30 @@
         }
     }
 
-    /// Whether the upstream ended under a send that broke off there.
+    /// Whether the upstream crashed during the attempt.
     pub(crate) async fn has_crashed(&self, sent: &SentAttempt) -> bool {
-        // One that leaves ends as planned, whatever it still does.
+        // An upstream that leaves ends as planned.
         if self.roster.borrow().is_leaving(&sent.upstream) {
             return false;
         }
         let Some(target) = self.target(&sent.upstream) else {
             return false;
         };
-        let seen = self.crash_probes.borrow_mut().look(sent.start, self.now());
+        let seen = self.crash_probes.borrow_mut().probe(sent.start, self.now());
         let reach = seen.get_or_init(|| async {
             let mut reach = Reach::Silent;
-            for limit in LIMITS {
+            for limit in PROBE_TIMEOUTS {
                 if reach == Reach::Silent {
                     reach = self.pool.reach(&target, limit).await;
                 }
             }
-            self.log_look(sent, reach);
+            self.log_crash(sent, reach);
             reach
         });
         *reach.await == Reach::Refused
     }
 
-    fn log_look(&self, sent: &SentAttempt, reach: Reach) {
+    fn log_crash(&self, sent: &SentAttempt, reach: Reach) {
         if reach != Reach::Refused {
             return;
         }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,13 +1,14 @@
-//! Requests of this daemon for which another one chooses the upstream.
+//! Requests of this daemon for which another daemon selects the upstream.
 //!
-//! News of load is some hundred milliseconds old, and a place at a plain service frees every few
-//! ten: daemons that decide by it send in waves. So for each model and service one daemon, a hub,
-//! chooses for all, and knows at once what it has sent where. It is asked by datagrams, and asked
-//! again; where it does not answer, the daemon chooses itself. Nothing is agreed here: two that
-//! choose for the same model only know less of each other's sends.
+//! Load reports are some hundred milliseconds old, while a slot at a plain service frees up every
+//! few tens of milliseconds: daemons that select by reports alone send in waves. For each model and
+//! service one daemon, a hub, therefore selects for all and knows at once what it has sent where.
+//! It is asked by datagrams, which are repeated; if it does not answer, the daemon selects by
+//! itself. There is no agreement protocol: two daemons that select for the same model only know
+//! less of each other's sends.
 //!
-//! [`Asked`] is the side that asks; `desk` the one that chooses. `docs/ROUTING.md` has the ways
-//! weighed.
+//! [`DelegatedRequests`] is the asking side; `peer_requests` is the side that selects.
+//! `docs/ROUTING.md` compares the alternatives.
 
 use crate::message::Message;
 use serde::{Deserialize, Serialize};
@@ -18,30 +19,32 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Without an answer for so long a request is asked for once more: two daemons are one
-/// millisecond apart, and a busy one answers within ten.
-const ASK_AGAIN_MS: u64 = 25;
+/// Time without an answer after which a request is sent to the hub once more: the round trip
+/// between two daemons is one millisecond, and a busy one answers within ten.
+const RESEND_MS: u64 = 25;
 
-/// Without one for so long this daemon chooses: a caller of a plain service waits 150 ms.
-const DECIDE_MS: u64 = 60;
+/// Time without an answer after which this daemon selects by itself: a caller of a plain service
+/// waits 150 ms.
+const FALLBACK_MS: u64 = 60;
 
-/// How often whoever chooses is asked about a request that waits there.
-const POLL_MS: u64 = 100;
+/// Interval at which the hub is polled about a request that is queued there.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// After so many questions without an answer it is taken to be gone.
-const MOST_POLLS: u32 = 3;
+/// Polls without an answer after which the hub counts as unreachable.
+const MAX_POLLS: u32 = 3;
 
-/// One that did not answer is not asked for so long.
-const DOUBT_MS: u64 = 1_000;
+/// Time for which a hub that did not answer is not asked.
+const AVOID_MS: u64 = 1_000;
 
-/// A request among those of all daemons: the incarnation of its daemon, and its number there.
+/// Identifies a request among those of all daemons: the incarnation of its daemon, and its number
+/// there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Ticket {
     pub(crate) incarnation: u64,
     pub(crate) id: u64,
 }
 
-/// What a request asks for, as it is told.
+/// The route of a request, as it is sent to a hub.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RouteNote {
     Model(Model, Option<Adapter>),
@@ -64,7 +67,8 @@
     }
 }
 
-/// A request that asks for an upstream. Times are spans, as no two daemons share a clock.
+/// A request that needs an upstream, as it is sent to a hub. Times are durations, because daemons
+/// share no clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AskNote {
     route: RouteNote,
@@ -111,7 +115,7 @@
         }
     }
 
-    /// The request as one of this daemon's router, under a number of its own.
+    /// Converts it to a request of this daemon's router, under a number of its own.
     pub(crate) fn into_ask(self, id: RequestId, org: Org, limits: Limits, now: Millis) -> Ask {
         Ask {
             id,
@@ -138,18 +142,18 @@
     }
 }
 
-/// What became of a request, told to whoever chose its upstream.
+/// The progress of a request, as it is reported to the hub that selected its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ProgressNote {
-    /// The first byte of its answer came.
+    /// The first byte of its answer arrived.
     FirstByte(AttemptNumber),
-    /// Its send ended.
+    /// An attempt ended.
     Ended(AttemptNumber, EndNote),
-    /// Its caller left, or its daemon chose for itself.
+    /// Its caller left, or its daemon selected an upstream by itself.
     Gone,
 }
 
-/// How a send ended, as it is told; see [`End`].
+/// How an attempt ended, as it is reported; see [`End`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum EndNote {
     Whole,
@@ -184,22 +188,22 @@
     }
 }
 
-/// The answer to a request that asks for an upstream.
+/// The hub's answer to a request that needs an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Answer {
-    /// It waits.
+    /// The request is queued.
     Queued,
-    /// Send it there; its first byte is expected after so many milliseconds.
+    /// Send it to this upstream; its first byte is expected after this number of milliseconds.
     Send {
         attempt: AttemptNumber,
         upstream: Upstream,
         expected: u32,
     },
-    /// Give up the send.
+    /// Cancel the attempt.
     Cancel { attempt: AttemptNumber },
-    /// Tell its caller that it failed.
+    /// Report the failure to the caller.
     Refuse { kind: ErrorKind, retry: Option<u32> },
-    /// Nothing is known of it.
+    /// The hub does not know the request.
     Unknown,
 }
 
@@ -224,7 +228,7 @@
         }
     }
 
-    fn into_action(self, id: RequestId, at: Option<Upstream>) -> Option<RouteAction> {
+    fn into_action(self, id: RequestId, upstream: Option<Upstream>) -> Option<RouteAction> {
         match self {
             Self::Queued | Self::Unknown => None,
             Self::Send {
@@ -240,7 +244,7 @@
             Self::Cancel { attempt } => Some(RouteAction::Cancel {
                 id,
                 attempt,
-                upstream: at?,
+                upstream: upstream?,
             }),
             Self::Refuse { kind, retry } => Some(RouteAction::Refuse {
                 id,
@@ -251,46 +255,47 @@
     }
 }
 
-/// How far a request has come.
+/// The state of a delegated request.
 #[derive(Debug, Clone)]
 enum Stage {
-    /// It was asked for, so long ago; whether again.
-    Requested { since: Millis, again: bool },
-    /// It waits there; when that was asked last, and how often in vain.
-    Queued { asked: Millis, in_vain: u32 },
+    /// The hub was asked at `since` and has not answered; `resent` if it was asked again.
+    Requested { since: Millis, resent: bool },
+    /// The request is queued at the hub, which was last polled at `polled` and has left
+    /// `unanswered` polls without an answer.
+    Queued { polled: Millis, unanswered: u32 },
     /// It is being sent.
     Sent,
 }
 
-/// One request that another daemon chooses for.
+/// A request for which a hub selects the upstream.
 #[derive(Debug, Clone)]
-struct Remote {
+struct Delegated {
     to: SocketAddr,
     stage: Stage,
-    /// The newest attempt that was answered with a place to send to, and where.
+    /// The latest attempt for which the hub named an upstream, and that upstream.
     attempt: AttemptNumber,
-    at: Option<Upstream>,
+    upstream: Option<Upstream>,
     ask: Ask,
 }
 
-/// What to do next about a request.
+/// The next action for a request.
 #[derive(Debug)]
 pub(crate) enum Step {
-    /// Send this to whoever chooses.
-    Tell(SocketAddr, Box<Message>),
-    /// Choose here: it was not sent anywhere yet.
-    Decide(Box<Ask>),
-    /// Give it up: it was sent, and nobody says where next.
-    GiveUp(RequestId),
+    /// Send this message to the hub.
+    Send(SocketAddr, Box<Message>),
+    /// Select an upstream here: the request has not been sent yet.
+    SelectHere(Box<Ask>),
+    /// Fail the request: it was sent, and no hub answers where to send it next.
+    Fail(RequestId),
 }
 
-/// The requests of this daemon that others choose for.
+/// The requests of this daemon for which hubs select the upstream.
 #[derive(Debug)]
 pub(crate) struct DelegatedRequests {
     incarnation: u64,
-    remote: BTreeMap<RequestId, Remote>,
-    /// Those that did not answer, and until when they are not asked.
-    doubt: BTreeMap<SocketAddr, Millis>,
+    requests: BTreeMap<RequestId, Delegated>,
+    /// Hubs that did not answer, and until when they are not asked.
+    avoided: BTreeMap<SocketAddr, Millis>,
     ticked: Millis,
 }
 
@@ -298,15 +303,15 @@
     pub(crate) fn new(incarnation: u64, now: Millis) -> Self {
         Self {
             incarnation,
-            remote: BTreeMap::new(),
-            doubt: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            avoided: BTreeMap::new(),
             ticked: now,
         }
     }
 
-    /// Whether that daemon may be asked.
-    pub(crate) fn trusts(&self, to: SocketAddr, now: Millis) -> bool {
-        self.doubt.get(&to).is_none_or(|until| now >= *until)
+    /// Whether the hub may be asked.
+    pub(crate) fn is_available(&self, to: SocketAddr, now: Millis) -> bool {
+        self.avoided.get(&to).is_none_or(|until| now >= *until)
     }
 
     fn ticket(&self, id: RequestId) -> Ticket {
@@ -316,39 +321,40 @@
         }
     }
 
-    /// RouteNote that daemon for an upstream.
+    /// Records the request as delegated to the hub and returns the message that asks it for an
+    /// upstream.
     pub(crate) fn ask(&mut self, ask: Ask, to: SocketAddr, now: Millis) -> Message {
-        let message = self.question(&ask, now);
-        let remote = Remote {
+        let message = self.ask_message(&ask, now);
+        let request = Delegated {
             to,
             stage: Stage::Requested {
                 since: now,
-                again: false,
+                resent: false,
             },
             attempt: 0,
-            at: None,
+            upstream: None,
             ask,
         };
-        self.remote.insert(remote.ask.id, remote);
+        self.requests.insert(request.ask.id, request);
         message
     }
 
-    fn question(&self, ask: &Ask, now: Millis) -> Message {
+    fn ask_message(&self, ask: &Ask, now: Millis) -> Message {
         Message::Ask(self.ticket(ask.id), Box::new(AskNote::of(ask, now)))
     }
 
-    /// Whether another daemon chooses for the request.
+    /// Whether the request is delegated to a hub.
     pub(crate) fn has(&self, id: RequestId) -> bool {
-        self.remote.contains_key(&id)
+        self.requests.contains_key(&id)
     }
 
-    /// Who chooses for the request, where that is another daemon.
-    pub(crate) fn chooser_of(&self, id: RequestId) -> Option<SocketAddr> {
-        self.remote.get(&id).map(|r| r.to)
+    /// The hub to which the request is delegated, if any.
+    pub(crate) fn hub_of(&self, id: RequestId) -> Option<SocketAddr> {
+        self.requests.get(&id).map(|r| r.to)
     }
 
-    /// Takes in an answer; what the request is to do. Answers come late, twice, or one before
-    /// the other.
+    /// Processes a hub's answer and returns the actions for the request. Answers may arrive late,
+    /// twice or out of order.
     pub(crate) fn on_answer(
         &mut self,
         ticket: Ticket,
@@ -356,54 +362,55 @@
         now: Millis,
     ) -> Vec<RouteAction> {
         let id = RequestId(ticket.id);
-        let remote = self.remote.get_mut(&id);
-        let Some(remote) = remote.filter(|_| ticket.incarnation == self.incarnation) else {
+        let request = self.requests.get_mut(&id);
+        let Some(request) = request.filter(|_| ticket.incarnation == self.incarnation) else {
             return Vec::new();
         };
-        let sent = matches!(remote.stage, Stage::Sent);
-        let at = remote.at.clone();
+        let sent = matches!(request.stage, Stage::Sent);
+        let previous = request.upstream.clone();
         match &answer {
             Answer::Queued if !sent => {
-                remote.stage = Stage::Queued {
-                    asked: now,
-                    in_vain: 0,
+                request.stage = Stage::Queued {
+                    polled: now,
+                    unanswered: 0,
                 };
                 Vec::new()
             }
             Answer::Queued | Answer::Unknown => Vec::new(),
-            Answer::Send { attempt, .. } if *attempt <= remote.attempt => Vec::new(),
+            Answer::Send { attempt, .. } if *attempt <= request.attempt => Vec::new(),
             Answer::Send {
                 attempt, upstream, ..
             } => {
-                // It moves; that the send before is given up may be said later.
+                // The request moves to another upstream; the hub's cancellation of the previous
+                // attempt may arrive later.
                 let cancel = Answer::Cancel {
-                    attempt: remote.attempt,
+                    attempt: request.attempt,
                 };
-                let cancel = cancel.into_action(id, at).filter(|_| sent);
-                remote.attempt = *attempt;
-                remote.at = Some(upstream.clone());
-                remote.stage = Stage::Sent;
+                let cancel = cancel.into_action(id, previous).filter(|_| sent);
+                request.attempt = *attempt;
+                request.upstream = Some(upstream.clone());
+                request.stage = Stage::Sent;
                 cancel
                     .into_iter()
                     .chain(answer.into_action(id, None))
                     .collect()
             }
-            Answer::Cancel { attempt } if *attempt != remote.attempt || !sent => Vec::new(),
+            Answer::Cancel { attempt } if *attempt != request.attempt || !sent => Vec::new(),
             Answer::Cancel { .. } => {
-                remote.stage = Stage::Queued {
-                    asked: now,
-                    in_vain: 0,
+                request.stage = Stage::Queued {
+                    polled: now,
+                    unanswered: 0,
                 };
-                answer.into_action(id, at).into_iter().collect()
+                answer.into_action(id, previous).into_iter().collect()
             }
             Answer::Refuse { .. } => {
-                self.remote.remove(&id);
-                answer.into_action(id, at).into_iter().collect()
+                self.requests.remove(&id);
+                answer.into_action(id, previous).into_iter().collect()
             }
         }
     }
 
-    /// Tells whoever chose what became of the request.
+    /// Records the progress of a request; returns the message that reports it to the hub.
     pub(crate) fn report(
         &mut self,
         id: RequestId,
@@ -411,92 +418,93 @@
         now: Millis,
     ) -> Option<(SocketAddr, Message)> {
         let ticket = self.ticket(id);
-        let remote = self.remote.get_mut(&id)?;
-        let to = remote.to;
+        let request = self.requests.get_mut(&id)?;
+        let to = request.to;
         match what {
             ProgressNote::FirstByte(_) => {}
             ProgressNote::Ended(_, EndNote::Whole | EndNote::Cancelled) | ProgressNote::Gone => {
-                self.remote.remove(&id);
+                self.requests.remove(&id);
             }
-            // What comes next is said at once, or asked for.
+            // The hub answers with the next step at once, or is polled for it.
             ProgressNote::Ended(..) => {
-                remote.stage = Stage::Queued {
-                    asked: now,
-                    in_vain: 0,
+                request.stage = Stage::Queued {
+                    polled: now,
+                    unanswered: 0,
                 };
             }
         }
         Some((to, Message::Progressed(ticket, what)))
     }
 
-    /// RouteNote again, and chooses here where nobody answers.
+    /// Returns the repeated messages that are due, and the requests whose hub does not answer.
     pub(crate) fn tick(&mut self, now: Millis) -> Vec<Step> {
-        // While this daemon got no time, answers waited as long.
-        let late = now.since(self.ticked).saturating_sub(ASK_AGAIN_MS);
+        // Answers wait unread while this daemon gets no processor time, so that time does not
+        // count.
+        let late = now.since(self.ticked).saturating_sub(RESEND_MS);
         self.ticked = now;
         let incarnation = self.incarnation;
         let mut steps = Vec::new();
         let mut lost = Vec::new();
-        for (id, remote) in &mut self.remote {
+        for (id, request) in &mut self.requests {
             let ticket = Ticket {
                 incarnation,
                 id: id.0,
             };
-            match &mut remote.stage {
-                Stage::Requested { since, again } => {
+            match &mut request.stage {
+                Stage::Requested { since, resent } => {
                     *since = since.plus(late);
                     let waited = now.since(*since);
-                    if waited >= DECIDE_MS {
+                    if waited >= FALLBACK_MS {
                         lost.push(*id);
-                    } else if waited >= ASK_AGAIN_MS && !*again {
-                        *again = true;
-                        let note = Box::new(AskNote::of(&remote.ask, now));
-                        steps.push(Step::Tell(remote.to, Box::new(Message::Ask(ticket, note))));
+                    } else if waited >= RESEND_MS && !*resent {
+                        *resent = true;
+                        let note = Box::new(AskNote::of(&request.ask, now));
+                        steps.push(Step::Send(request.to, Box::new(Message::Ask(ticket, note))));
                     }
                 }
-                Stage::Queued { asked, in_vain } => {
-                    *asked = asked.plus(late);
-                    if now.since(*asked) < POLL_MS {
+                Stage::Queued { polled, unanswered } => {
+                    *polled = polled.plus(late);
+                    if now.since(*polled) < POLL_INTERVAL_MS {
                         continue;
                     }
-                    if *in_vain >= MOST_POLLS {
+                    if *unanswered >= MAX_POLLS {
                         lost.push(*id);
                         continue;
                     }
-                    *in_vain += 1;
-                    *asked = now;
-                    steps.push(Step::Tell(remote.to, Box::new(Message::Poll(ticket))));
+                    *unanswered += 1;
+                    *polled = now;
+                    steps.push(Step::Send(request.to, Box::new(Message::Poll(ticket))));
                 }
                 Stage::Sent => {}
             }
         }
         for id in lost {
-            self.lose(id, now, &mut steps);
+            self.stop_delegating(id, now, &mut steps);
         }
-        self.doubt.retain(|_, until| now < *until);
+        self.avoided.retain(|_, until| now < *until);
         steps
     }
 
-    /// Whoever was asked does not answer.
-    fn lose(&mut self, id: RequestId, now: Millis, steps: &mut Vec<Step>) {
-        let Some(remote) = self.remote.remove(&id) else {
+    /// Ends the delegation of a request whose hub does not answer.
+    fn stop_delegating(&mut self, id: RequestId, now: Millis, steps: &mut Vec<Step>) {
+        let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        self.doubt.insert(remote.to, now.plus(DOUBT_MS));
+        self.avoided.insert(request.to, now.plus(AVOID_MS));
         let ticket = self.ticket(id);
         let gone = Message::Progressed(ticket, ProgressNote::Gone);
-        steps.push(Step::Tell(remote.to, Box::new(gone)));
-        steps.push(match remote.attempt {
-            0 => Step::Decide(Box::new(remote.ask)),
-            _ => Step::GiveUp(id),
+        steps.push(Step::Send(request.to, Box::new(gone)));
+        steps.push(match request.attempt {
+            0 => Step::SelectHere(Box::new(request.ask)),
+            _ => Step::Fail(id),
         });
     }
 
-    /// What is being sent for others that chose: the numbers of requests by who chose.
+    /// The numbers of the delegated requests by hub.
     pub(crate) fn open(&self) -> BTreeMap<SocketAddr, Vec<u64>> {
         let mut open: BTreeMap<SocketAddr, Vec<u64>> = BTreeMap::new();
-        for (id, remote) in &self.remote {
-            open.entry(remote.to).or_default().push(id.0);
+        for (id, request) in &self.requests {
+            open.entry(request.to).or_default().push(id.0);
         }
         open
     }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,14 +1,15 @@
-//! Resuming a stream needs its events whole: splits bytes at their ends.
+//! Splits a stream's bytes at the ends of events, because a stream can only be resumed after a
+//! complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// What ends an event.
+/// The end of an event.
 const END: &[u8] = b"\n\n";
 
-/// The field that holds an event's identity.
+/// The field that holds an event's id.
 const ID: &str = "id:";
 
-/// Gathers bytes and gives them out up to the end of the last whole event.
+/// Buffers bytes and returns them up to the end of the last complete event.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     rest: BytesMut,
@@ -16,7 +17,7 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes and returns those that belong to whole events.
+    /// Adds bytes and returns those that belong to complete events.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.rest.extend_from_slice(bytes);
         let end = self.rest.windows(END.len()).rposition(|w| w == END)? + END.len();
@@ -29,18 +30,18 @@
         Some(whole)
     }
 
-    /// The identity of the last whole event.
+    /// The id of the last complete event.
     pub(crate) fn last_id(&self) -> Option<&str> {
         self.last.as_deref()
     }
 
-    /// Whether part of an event is left over.
-    pub(crate) fn is_torn(&self) -> bool {
+    /// Whether part of an event is buffered.
+    pub(crate) fn has_partial(&self) -> bool {
         !self.rest.is_empty()
     }
 
-    /// Drops the part of an event that is left over: the next upstream sends it anew.
-    pub(crate) fn drop_torn(&mut self) {
+    /// Drops the buffered part of an event: the next upstream sends the event again.
+    pub(crate) fn drop_partial(&mut self) {
         self.rest.clear();
     }
 }
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -1,11 +1,11 @@
-//! One request as it is sent: how long it waits, how much may be ahead of it, and who goes
-//! first.
+//! A request as it is sent: how long it waits, how much prompt backlog it accepts, and its
+//! priority.
 //!
-//! Three loads decide here. On a calm day all is sent at once. Where callers ask for more
-//! prompts than an engine reads between the tokens of its streams, they wait here for as
-//! long as they can be in time, so that the streams that run keep their pace. Where a model
-//! is short altogether, those that come first go before those that were refused before.
-//! Nothing here reads a clock or a socket. `docs/DECISIONS.md` has what each part is worth.
+//! The rules cover three levels of load. Under light load all requests are sent at once. If callers
+//! ask for more prompts than an engine reads between the tokens of its streams, requests wait here
+//! for as long as they can still be in time, so that running streams are not delayed. If a model is
+//! short of capacity altogether, first attempts go before retries. Nothing here reads a clock or a
+//! socket. `docs/DECISIONS.md` compares the effect of each rule.
 
 use crate::allowance::Charge;
 use crate::{Head, RouteRule};
@@ -14,74 +14,75 @@
 use shaleline_route::{Ask, Limits, Route, Terms};
 use shaleline_types::{stable_hash, Identity, Millis, Org, RequestId, Service};
 
-/// Requests whose target is no longer than this are served before others.
+/// Requests with a target of at most this are served before others.
 const URGENT_TARGET: Millis = Millis(2_000);
 
-/// What is no stream waits unsent for a fifth of its target: later its answer is hardly in
-/// time, and its caller should know while it can still go elsewhere.
-const WAIT_PART: u64 = 5;
+/// A request that is no stream waits for at most this fraction (one fifth) of its target: its
+/// answer would hardly be in time later, and its caller should know while it can still go
+/// elsewhere.
+const WAIT_DIVISOR: u64 = 5;
 
-/// But at least so long, for a place that frees at once.
-const LEAST_WAIT: u64 = 20;
+/// Lower limit of the wait, for a slot that frees up at once.
+const MIN_WAIT_MS: u64 = 20;
 
-/// A stream waits until an engine can take its prompt without stopping other streams, as
-/// long as its first event can still be in time: reading a prompt takes some ten
-/// milliseconds, and the first event some more.
-const FIRST_EVENT: u64 = 100;
+/// Time that is left for the first event of a stream: reading a prompt takes some ten milliseconds,
+/// and the first event some more. A stream waits until an engine can read its prompt without
+/// stopping other streams, as long as its first event can be in time.
+const FIRST_EVENT_MS: u64 = 100;
 
-/// But no longer than this: a place frees every few ten milliseconds, and who has waited in
-/// vain has lost the time.
-const MOST_WAIT: u64 = 1_000;
+/// Upper limit of the wait: a slot frees up every few tens of milliseconds, and a request that
+/// waited longer without one has lost the time.
+const MAX_WAIT_MS: u64 = 1_000;
 
-/// A load from a copy, with the plan before it, is done after this time. Who has as much is
-/// served in time by waiting; others are told at once that nobody holds their model.
-const LOAD_WAIT: u64 = 2_500;
+/// Time in which a model is planned and loaded from a copy. A stream with at least this slack is
+/// served in time by waiting; others are refused at once if no engine holds their model.
+const LOAD_WAIT_MS: u64 = 2_500;
 
-/// The part of the longest pause that prompts may take at once: what other daemons sent in
-/// the last tenths of a second is not known yet. With four fifths 642 of 1,000 chats
-/// on crowded days are in time, with a half 652, by 30 days played.
-const PACE_PART: (u64, u64) = (1, 2);
+/// The fraction of the longest pause that waiting prompts may take: what other daemons sent in the
+/// last tenths of a second is not known yet. With 4/5, 642 of 1,000 chats on overloaded days are in
+/// time; with 1/2, 652, in 30 simulated days.
+const BACKLOG_PART: (u64, u64) = (1, 2);
 
-/// How far behind those that come for the first time one is served that came back. With it
-/// 670 of 1,000 chats on crowded days are in time, without it 652, by 30 days played.
-const BACK_PRIORITY: u8 = 16;
+/// Added to the priority value of retries, so that first attempts are served before them. With it,
+/// 670 of 1,000 chats on overloaded days are in time; without it, 652, in 30 simulated days.
+const RETRY_PRIORITY: u8 = 16;
 
-/// A caller that came back after a refusal has no further try: its request waits for a
-/// larger part of the time left.
-const BACK_WAIT: (u64, u64) = (3, 5);
+/// A caller that retries after a refusal does not retry again: its request waits for this fraction
+/// of the time left.
+const RETRY_WAIT_PART: (u64, u64) = (3, 5);
 
-/// But no longer than so many targets: callers of streams leave after four.
-const BACK_TARGETS: u64 = 2;
+/// Upper limit of that wait, in targets: callers of streams leave after four.
+const MAX_RETRY_TARGETS: u64 = 2;
 
-/// A request is not sent where its first byte is expected later than so many targets:
-/// callers of streams leave after four. Shorter queues were tried: what was refused fell
-/// behind less urgent work, and `docs/MEASUREMENTS.md` has the figures.
-const MOST_TARGETS: u64 = 2;
+/// A request is not sent if its first byte is expected later than this number of targets: callers
+/// of streams leave after four. With shorter queues, refused requests fell behind less urgent work;
+/// `docs/MEASUREMENTS.md` has the figures.
+const MAX_TARGETS: u64 = 2;
 
-/// A send without a first byte counts as hanging after twice the target, within these
-/// bounds: a short target leaves time to try elsewhere, a long one is no reason to wait.
+/// An attempt without a first byte counts as hanging after this number of targets, within these
+/// bounds: a short target leaves time to try another upstream, a long one is no reason to wait.
 const STALL_TARGETS: u64 = 2;
-const STALL_BOUNDS: (u64, u64) = (200, 3_000);
+const STALL_BOUNDS_MS: (u64, u64) = (200, 3_000);
 
-/// The platform names no organisations: all callers are one.
-const ORG: &str = "platform";
+/// The organisation of all callers in the router, because the platform's routes name none.
+const CALLERS_ORG: &str = "platform";
 
 /// The organisation of all callers.
 pub(crate) fn org() -> Org {
-    Org::from_text(ORG).expect("a valid name")
+    Org::from_text(CALLERS_ORG).expect("a valid name")
 }
 
-/// Its limits are the platform's own.
+/// The router sets no limits; the platform's limits apply.
 pub(crate) const LIMITS: Limits = Limits {
     rate: 1 << 40,
     concurrency: 1 << 40,
     tokens: 1 << 40,
 };
 
-/// One request as it is sent.
+/// A request as it is sent.
 pub(crate) struct Job {
     pub(crate) head: Head,
-    /// What it has in common with its caller's other attempts.
+    /// The identity that it shares with its caller's other attempts.
     pub(crate) identity: Identity,
     pub(crate) rule: RouteRule,
     pub(crate) service: Service,
@@ -91,13 +92,13 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) arrived: Millis,
-    /// Whether its caller was refused before: it has less time than the route gives.
-    pub(crate) came_back: bool,
-    /// When the caller's time or the route's is over, whichever is first.
+    /// Whether it is a retry after a refusal, which has less time than the route gives.
+    pub(crate) is_retry: bool,
+    /// The end of the caller's or the route's time, whichever is first.
     pub(crate) deadline: Millis,
-    /// The organisation whose request it is, where that is known.
+    /// The organisation whose request it is, if that is known.
     pub(crate) org: Option<Org>,
-    /// What its organisation was charged.
+    /// The charge to its organisation's allowance.
     pub(crate) charge: Option<Charge>,
 }
 
@@ -107,19 +108,19 @@
         self.rule.repeat.is_idempotent()
     }
 
-    /// The rank at an engine: by the route's priority, and work with a long target after
-    /// all other.
+    /// The rank at an engine, by the route's priority; requests with a long target come after all
+    /// others.
     pub(crate) fn rank(&self) -> Option<u8> {
         self.head.model.as_ref()?;
-        let relaxed = u8::from(!self.is_urgent() || self.came_back) * 5;
+        let relaxed = u8::from(!self.is_urgent() || self.is_retry) * 5;
         Some((self.rule.priority + 1 + relaxed).min(9))
     }
 
-    /// Who was refused before has mostly missed the target already, which counts from the
-    /// first try; those that can still be in time go first.
+    /// The priority in the router. A retry has mostly missed its target, which counts from the
+    /// first attempt, so requests that can still be in time go first.
     pub(crate) fn priority(&self) -> u8 {
-        let back = u8::from(self.came_back) * BACK_PRIORITY;
-        self.rule.priority.saturating_add(back)
+        let retry = u8::from(self.is_retry) * RETRY_PRIORITY;
+        self.rule.priority.saturating_add(retry)
     }
 
     fn is_urgent(&self) -> bool {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The model that an upstream must hold to serve it, with or without its adapter.
+    /// The route to any engine that holds the model, with or without the adapter.
     pub(crate) fn base(&self) -> Option<Route> {
         let model = self.head.model.clone()?;
         Some(Route::Model {
@@ -145,10 +146,10 @@
         })
     }
 
-    /// What the router is asked, where some upstream serves the model or none does.
+    /// The router's view of the request; `served` is whether some upstream serves the model.
     pub(crate) fn to_ask(&self, id: RequestId, served: bool) -> Ask {
         let (prefix, sizes) = self.prefix();
-        let (least, most) = STALL_BOUNDS;
+        let (least, most) = STALL_BOUNDS_MS;
         let stall = (self.rule.target.0 * STALL_TARGETS).clamp(least, most);
         Ask {
             id,
@@ -165,43 +166,44 @@
             terms: Terms {
                 wait: Some(Millis(self.wait(served))),
                 attempts: Some(self.rule.attempts),
-                most: Some(Millis(self.rule.target.0 * MOST_TARGETS)),
+                most: Some(Millis(self.rule.target.0 * MAX_TARGETS)),
                 stall: self.is_idempotent().then_some(Millis(stall)),
                 urgent: self.is_urgent(),
-                pace: self.pace(),
+                pace: self.prompt_backlog(),
             },
             identity: Some(self.identity),
         }
     }
 
-    /// The most work that prompts may have ahead at an engine, in milliseconds. An engine
-    /// reads prompts between the tokens of its streams, so prompts that wait together stop
-    /// all of them for as long as they take.
-    pub(crate) fn pace(&self) -> Option<Millis> {
-        let (of, parts) = PACE_PART;
+    /// The most prompt backlog that the request accepts at an engine, in milliseconds. An engine
+    /// reads prompts between the tokens of its streams, so waiting prompts stop all of them for as
+    /// long as they take.
+    pub(crate) fn prompt_backlog(&self) -> Option<Millis> {
+        let (of, parts) = BACKLOG_PART;
         self.rule.pause.map(|p| Millis(p.0 * of / parts))
     }
 
-    /// How long it may wait unsent, where some upstream serves its model or none does.
+    /// How long it may wait before it is sent, in milliseconds; `served` is whether some upstream
+    /// serves its model.
     pub(crate) fn wait(&self, served: bool) -> u64 {
         let target = self.rule.target.0;
-        if self.came_back {
+        if self.is_retry {
             let left = self.deadline.since(self.arrived);
-            return (left * BACK_WAIT.0 / BACK_WAIT.1).min(target * BACK_TARGETS);
+            return (left * RETRY_WAIT_PART.0 / RETRY_WAIT_PART.1).min(target * MAX_RETRY_TARGETS);
         }
         if self.rule.pause.is_some() {
-            let slack = target.saturating_sub(FIRST_EVENT);
-            return match (served, slack >= LOAD_WAIT) {
-                (true, _) => slack.clamp(LEAST_WAIT, MOST_WAIT),
-                (false, true) => LOAD_WAIT,
-                (false, false) => LEAST_WAIT,
+            let slack = target.saturating_sub(FIRST_EVENT_MS);
+            return match (served, slack >= LOAD_WAIT_MS) {
+                (true, _) => slack.clamp(MIN_WAIT_MS, MAX_WAIT_MS),
+                (false, true) => LOAD_WAIT_MS,
+                (false, false) => MIN_WAIT_MS,
             };
         }
-        (target / WAIT_PART).max(LEAST_WAIT)
+        (target / WAIT_DIVISOR).max(MIN_WAIT_MS)
     }
 
-    /// The growing prefixes of the prompt. What an engine keeps, it keeps for a model and
-    /// adapter.
+    /// The hashes of the growing prefixes of the prompt, and their sizes. An engine caches prefixes
+    /// by model and adapter, so the hashes include both.
     fn prefix(&self) -> (Vec<u64>, Vec<u32>) {
         let mut last = stable_hash(&[&self.route().to_string()]);
         let mut chain = Vec::with_capacity(self.head.parts.len());
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,4 +1,4 @@
-//! Structured log lines on standard output: bounded in number, and never waited for.
+//! Structured log lines on standard output. Their number is bounded, and logging never blocks.
 
 use eyre::{Result, WrapErr};
 use flexi_logger::writers::LogWriter;
@@ -12,19 +12,19 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Lines that may wait for a slow reader; what comes on top is dropped and counted.
-const DEPTH: usize = 4_096;
+/// The number of lines that may wait for a slow reader; further ones are dropped and counted.
+const QUEUE_LINES: usize = 4_096;
 
-/// How long lines are gathered before they are written, to save wake-ups.
-const GATHER: Duration = Duration::from_millis(100);
+/// How long lines are buffered before they are written, to save wake-ups.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines about single requests: so many a second, and so many at once.
+/// Rate limit and burst of lines about single requests.
 const LINES_PER_S: f64 = 100.0;
-const LINES_AT_ONCE: f64 = 300.0;
+const LINES_BURST: f64 = 300.0;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// How many log lines were dropped so far.
+/// The number of log lines dropped so far.
 pub(crate) fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
@@ -51,20 +51,20 @@
     while let Ok(first) = lines.recv() {
         let mut text = first;
         text.extend(lines.try_iter());
-        // Nobody reads standard output any more: there is nobody to tell.
+        // Standard output is closed, so logging ends.
         if std::io::stdout().write_all(text.as_bytes()).is_err() {
             return;
         }
-        std::thread::sleep(GATHER);
+        std::thread::sleep(WRITE_INTERVAL);
     }
 }
 
 /// Starts logging at a level such as `info`.
 ///
 /// # Errors
-/// Where the level can't be understood or the writer can't be started.
+/// If the level can't be parsed or the writer can't be started.
 pub fn start_journal(level: &str) -> Result<()> {
-    let (sender, lines) = sync_channel(DEPTH);
+    let (sender, lines) = sync_channel(QUEUE_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&lines))
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// Logs a numbered event; `detail` is `key=value` pairs.
+/// Logs a numbered event; `detail` is a list of `key=value` pairs.
 pub(crate) fn emit(event: LogEvent, detail: &str) {
     let level = match event.level() {
         Level::Error => log::Level::Error,
@@ -87,25 +87,25 @@
     log::log!(level, "event={} name={event:?} {detail}", event.number());
 }
 
-/// Bounds the lines about single requests.
+/// Limits the rate of lines about single requests.
 #[derive(Debug)]
-pub(crate) struct LineBudget {
+pub(crate) struct LineLimiter {
     level: Cell<f64>,
     last: Cell<Millis>,
 }
 
-impl LineBudget {
+impl LineLimiter {
     pub(crate) fn new(now: Millis) -> Self {
         Self {
-            level: Cell::new(LINES_AT_ONCE),
+            level: Cell::new(LINES_BURST),
             last: Cell::new(now),
         }
     }
 
-    /// Whether one more line may be written; one that may not is counted as dropped.
+    /// Whether one more line may be written; a line that may not is counted as dropped.
     pub(crate) fn take(&self, now: Millis) -> bool {
         let gained = now.since(self.last.get()) as f64 / 1_000.0 * LINES_PER_S;
-        let level = (self.level.get() + gained).min(LINES_AT_ONCE);
+        let level = (self.level.get() + gained).min(LINES_BURST);
         self.last.set(now);
         if level < 1.0 {
             self.level.set(level);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,36 +1,36 @@
 //! Serves callers on the users' platform.
 //!
-//! A request's way, top down:
+//! The path of a request:
 //!
-//! 1. `request` reads it, finds its route in the [`Table`] and asks for an upstream; `job` says how
-//!    long it waits and who goes first. For each model and service one daemon chooses with the
-//!    router of `shaleline_route`: `choosing` asks it (`chooser` says which), by what `dispatch`
-//!    and `desk` decide.
-//!    `admit` finds out whose it is and charges it: `admission` decides by the keys of `orgs`,
-//!    `allowance` asks those that keep a part of the allowances.
-//! 2. `attempt` sends it and checks that the answer is its own; `relay` passes a stream on
-//!    and resumes it; `refuse` answers where no upstream did.
+//! 1. `request` reads it, finds its route in the [`Table`] and requests an upstream; `job` decides
+//!    its waiting time and priority. For each model and service one daemon selects with the router
+//!    of `shaleline_route`: `selection` exchanges the messages with that daemon, which `selector`
+//!    finds. `dispatch` has the requests for which a hub selects, `peer_requests` those for which
+//!    this daemon does.
+//!    `admit` authenticates and charges it: `admission` decides by the keys of `orgs`, and
+//!    `allowance` asks the daemons that keep a share of the allowances.
+//! 2. `attempt` sends it and checks that the answer belongs to it; `relay` passes a stream on and
+//!    resumes it; `refuse` answers if no upstream did.
 //!
 //! Around it:
 //!
-//! * `follow` keeps up with the platform's [`Store`], which it calls through `link`;
-//!   `roster` decides which upstreams there are, `skipped` bounds what is said of records that
-//!   name none.
-//! * `mesh` decides which daemons tell which others what, in the messages of `message`: `peers`
-//!   is who there is, `seats` who is a hub, `parts` which part of the allowances a daemon keeps;
-//!   `gossip` sends and receives them, `reading` is who reads the store, `handover` passes
-//!   on what was read, `members` is how daemons find each other.
-//! * `lead` plans with `shaleline_fleet` when `claiming` holds the planner's claim, which `hearing`
-//!   makes a daemon give up that hears too few others; `orders`
-//!   gives the orders, `tags` names what the others told to be asked for, `told` is what they
-//!   were told.
-//! * `ended` tells whether an upstream ended when a send to it broke off, `suspects` tells the
-//!   others under which requests upstreams ended, `kept` keeps that in the store.
-//! * `pulse` tells how late this process runs, and `ready` whether it should take work.
-//! * `control` answers the balancer and shows metrics and state; `start` brings all up
-//!   and down.
+//! * `follow` follows the platform's [`Store`], which it calls through `link`; `roster` keeps the
+//!   list of upstreams, and `skipped` limits the log lines about records that name none.
+//! * `mesh` decides which daemons exchange which data, in the messages of `message`: `peers` lists
+//!   the daemons, `seats` selects the hubs, and `parts` computes the share of the allowances that a
+//!   daemon keeps; `gossip` sends and receives the messages, `reading` decides which daemon reads
+//!   the store, `handover` passes on what was read, and `members` finds other daemons.
+//! * `lead` plans with `shaleline_fleet` while `claiming` holds the planner lease, which a daemon
+//!   gives up if `hearing` finds it in contact with too few others; `orders` sends the orders,
+//!   `tags` identifies demand that others reported, and `told` has what was announced to them.
+//! * `crash_probe` finds out whether an upstream crashed when an attempt broke off, `suspects`
+//!   reports to the others during which requests upstreams crashed, and `kept` keeps that in the
+//!   store.
+//! * `stall` detects stalls of this process, and `ready` decides whether it should take work.
+//! * `control` answers the balancer and serves metrics and state; `start` starts and stops the
+//!   gateway.
 //!
-//! The platform's own words are met through [`Codec`] and [`Store`] alone.
+//! The platform's formats are accessed through [`Codec`] and [`Store`] alone.
 //! `docs/PLATFORM.md` has the design.
 
 mod admission;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// So many organisations are counted by name, the others together.
-const MOST_NAMED: usize = 64;
+/// The number of organisations that are counted by name; the rest are counted together.
+const MAX_NAMED: usize = 64;
 const OTHERS: &str = "others";
 
-/// What a gateway counts.
+/// The metrics of a gateway.
 pub(crate) struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -77,15 +77,15 @@
         })
     }
 
-    /// Counts an ended request by how it ended.
+    /// Counts an ended request by its result code.
     pub(crate) fn count_request(&self, code: &'static str) {
         self.requests.add(1, &[KeyValue::new("code", code)]);
     }
 
-    /// Counts a request of an organisation by what became of it at its allowance.
+    /// Counts a request of an organisation by the result of its charge.
     pub(crate) fn count_admission(&self, org: &Org, code: &'static str) {
         let mut named = self.named.borrow_mut();
-        if !named.contains(org) && named.len() < MOST_NAMED {
+        if !named.contains(org) && named.len() < MAX_NAMED {
             named.insert(org.clone());
         }
         let name = if named.contains(org) {
@@ -104,19 +104,19 @@
         self.store.add(1, &labels);
     }
 
-    /// How often each topic was called since this was asked last, as `key=value` pairs.
+    /// The number of calls by topic since the previous summary, as `key=value` pairs.
     pub(crate) fn take_store_calls(&self) -> String {
         let calls = std::mem::take(&mut *self.recent_calls.borrow_mut());
         let pairs = calls.iter().map(|(topic, n)| format!("{topic}={n}"));
         pairs.collect::<Vec<_>>().join(" ")
     }
 
-    /// Counts an order by what the engine answered.
+    /// Counts an order by the engine's reply.
     pub(crate) fn count_order(&self, reply: &'static str) {
         self.orders.add(1, &[KeyValue::new("reply", reply)]);
     }
 
-    pub(crate) fn note_first(&self, millis: u64) {
+    pub(crate) fn note_first_byte(&self, millis: u64) {
         self.first.record(millis as f64, &[]);
     }
 
@@ -124,13 +124,12 @@
         self.wait.record(millis as f64, &[]);
     }
 
-    /// Notes how long callers asked in vain for a model.
+    /// Records for how long a model with demand was unserved.
     pub(crate) fn note_unserved(&self, millis: u64) {
         self.unserved.record(millis as f64, &[]);
     }
 
-    /// Notes how many requests are known under which upstreams ended, and how many of them are not
-    /// sent any more.
+    /// Records the number of requests with crash records, and how many of them are blocked.
     pub(crate) fn note_suspects(&self, known: usize, blocked: usize) {
         let watched = known - blocked;
         for (state, count) in [("watched", watched), ("blocked", blocked)] {
--- a/crates/gateway/src/orgs.rs
+++ b/crates/gateway/src/orgs.rs
@@ -5,33 +5,33 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// What one request counts as against its organisation's allowance.
+/// The unit in which a request is charged to its organisation's allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CostUnit {
     /// Each request counts as one.
     Requests,
-    /// The tokens that it says it may take, or so many where it does not say.
+    /// The most tokens that a request may use, as its headers give them.
     Tokens {
-        /// What a request that names no tokens counts as.
+        /// The cost of a request whose headers give no token counts.
         plain: u64,
     },
 }
 
-/// What is set for one organisation.
+/// The settings of one organisation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrgRule {
     /// Its name.
     pub name: Org,
-    /// The priority of its requests, which goes before that of their route.
+    /// The priority of its requests, which overrides that of their route.
     pub priority: Option<u8>,
-    /// What it may use over all daemons; none without a limit.
+    /// Its allowance over all daemons; none if it is unlimited.
     pub allowance: Option<Allowance>,
-    /// What its requests count as.
+    /// The unit in which its requests are charged.
     pub counting: CostUnit,
 }
 
 impl OrgRule {
-    /// What a request counts as; `tokens` is what it says it may take.
+    /// The cost of a request that may use `tokens` tokens, if that is known.
     #[must_use]
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.counting {
@@ -41,12 +41,12 @@
     }
 }
 
-/// Why a list of organisations can't be taken.
+/// Why a list of organisations is not valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrgsError {
     /// An organisation is listed twice.
     Repeated(Org),
-    /// Two organisations hold one key.
+    /// Two organisations hold the same key.
     SharedKey(Org, Org),
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// All organisations. A key is found by its hash, in the same time whatever the key.
+/// All organisations. A key is looked up by its hash, so the time does not depend on the key.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Orgs {
     rules: Vec<OrgRule>,
@@ -68,21 +68,21 @@
 }
 
 impl Orgs {
-    /// Takes organisations, each with the hashes of its keys.
+    /// Builds the list from organisations, each with the hashes of its keys.
     ///
     /// # Errors
-    /// Where one is listed twice, or two hold one key: whose a request is would not be known.
+    /// If one is listed twice, or two hold the same key, so that a request's organisation is ambiguous.
     pub fn from_rules(
         rules: impl IntoIterator<Item = (OrgRule, Vec<KeyHash>)>,
     ) -> Result<Self, OrgsError> {
         let mut orgs = Self::default();
         for (rule, keys) in rules {
-            let place = orgs.rules.len();
-            if orgs.by_name.insert(rule.name.clone(), place).is_some() {
+            let index = orgs.rules.len();
+            if orgs.by_name.insert(rule.name.clone(), index).is_some() {
                 return Err(OrgsError::Repeated(rule.name));
             }
             for key in keys {
-                let before = orgs.by_key.insert(key, place).filter(|b| *b != place);
+                let before = orgs.by_key.insert(key, index).filter(|b| *b != index);
                 if let Some(before) = before {
                     let other = orgs.rules[before].name.clone();
                     return Err(OrgsError::SharedKey(other, rule.name));
@@ -93,25 +93,25 @@
         Ok(orgs)
     }
 
-    /// Whose key this is.
+    /// The organisation that holds the key.
     #[must_use]
     pub fn find(&self, key: &KeyHash) -> Option<&OrgRule> {
         self.by_key.get(key).map(|p| &self.rules[*p])
     }
 
-    /// What is set for an organisation.
+    /// The settings of an organisation.
     #[must_use]
     pub fn get(&self, name: &Org) -> Option<&OrgRule> {
         self.by_name.get(name).map(|p| &self.rules[*p])
     }
 
-    /// What an organisation may use over all daemons; none without a limit.
+    /// The allowance of an organisation over all daemons; none if it is unlimited.
     #[must_use]
     pub fn allowance(&self, name: &Org) -> Option<Allowance> {
         self.get(name)?.allowance
     }
 
-    /// All of them, in the order of the configuration.
+    /// All organisations, in the order of the configuration.
     pub fn iter(&self) -> impl Iterator<Item = &OrgRule> {
         self.rules.iter()
     }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -1,22 +1,22 @@
-//! Whether this daemon should take work.
+//! Decides whether this daemon should take work.
 //!
-//! It should once it knows a configuration and the upstreams, and until it stops. One that
-//! stalled may have missed a version meanwhile: it learns of it only after several rounds of
-//! its tasks, and each of them may be as late. So it takes no work until it has heard again
-//! that what it holds is the newest. One that did not stall and hears nothing is cut off from
-//! the store, where nobody else can have a version accepted that it should know, or from all
-//! other daemons as well; it goes on with what it has, which is better for its callers than
-//! nothing.
+//! It should once it knows a configuration and the upstreams, and until it stops. A daemon that
+//! stalled may have missed a version in the meantime: it learns of it only after several rounds of
+//! its tasks, each of which may be as late. It takes no work until its configuration is confirmed
+//! as the newest again. A daemon that did not stall and receives nothing is cut off. If it is cut
+//! off from the store, no other daemon there can have a version accepted that it should know; if it
+//! is cut off from all other daemons as well, it continues with its configuration, which serves its
+//! callers better than refusing them.
 
-use crate::admission::Age;
+use crate::admission::ConfigAge;
 use crate::reading::{Freshness, Reading};
 use crate::stall::StallDetector;
 use crate::state::Gateway;
 use shaleline_types::Millis;
 
-/// A version that was accepted so long ago should be in force: what the platform's bound
-/// leaves for a request on its way to its upstream.
-const ON_ITS_WAY_MS: u64 = 150;
+/// Margin for a request on its way to its upstream, which is part of the platform's bound for
+/// putting a version in force.
+const IN_TRANSIT_MS: u64 = 150;
 
 /// Whether a version may be in force elsewhere that this daemon missed while it stalled.
 pub(crate) fn is_behind(
@@ -28,12 +28,12 @@
     let Some(known) = reading.config_known_at() else {
         return false;
     };
-    let allowed = apply.0.saturating_sub(ON_ITS_WAY_MS);
+    let allowed = apply.0.saturating_sub(IN_TRANSIT_MS);
     now.since(known) >= allowed && pulse.stalled_since(known, now)
 }
 
 impl Gateway {
-    /// Whether callers should be sent here.
+    /// Whether the balancer should send callers here.
     pub(crate) fn is_ready(&self) -> bool {
         let knows = self.table().is_some() && self.upstreams_known.get();
         knows && !self.stopping.get() && !self.is_behind() && self.knows_keys()
@@ -46,27 +46,27 @@
         is_behind(&self.reading.borrow(), &pulse, apply, self.now())
     }
 
-    /// How long ago the configuration in force was certainly the newest.
-    pub(crate) fn config_age(&self) -> Age {
+    /// The time since the configuration in force was confirmed as the newest.
+    pub(crate) fn config_age(&self) -> ConfigAge {
         let at = self.reading.borrow().certain_at()?;
         Some(Millis(self.now().since(at)))
     }
 
-    /// Whether callers' keys can be relied on, or none are needed.
+    /// Whether callers' keys can be relied on, or no keys are needed.
     pub(crate) fn knows_keys(&self) -> bool {
         let needed = self.table().is_some_and(|t| t.orgs.is_some());
         let revocation = self.bounds.borrow().revocation;
         !needed || revocation.holds(self.config_age())
     }
 
-    /// The earliest time at which something may have come that is read now.
+    /// The earliest time at which data that is read now may have arrived.
     pub(crate) fn earliest_arrival(&self) -> Millis {
         let now = self.now();
         let lag = self.stall_detector.borrow().lag(now);
         Millis(now.0.saturating_sub(lag))
     }
 
-    /// How old what a hub has read may be.
+    /// The limits on the age of a hub's read position.
     pub(crate) fn freshness(&self) -> Freshness {
         let bounds = self.bounds.borrow();
         let wait = self.settings.config_wait(bounds.apply);
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers, where no upstream gave one.
+//! The gateway's own answers, if no upstream gave one.
 
 use crate::job::Job;
 use crate::journal::emit;
@@ -16,7 +16,7 @@
     kind: ErrorKind,
     retry: Option<Millis>,
     reason: String,
-    /// The organisation that it is about.
+    /// The organisation of the request.
     org: Option<Org>,
 }
 
@@ -30,24 +30,24 @@
         }
     }
 
-    /// The word for its kind.
+    /// The code of its kind.
     pub(crate) fn code(&self) -> &'static str {
         self.kind.answer().code
     }
 
-    /// Says why more exactly.
+    /// Replaces the reason by a more exact one.
     pub(crate) fn with_reason(mut self, reason: String) -> Self {
         self.reason = reason;
         self
     }
 
-    /// Says whose request it is.
+    /// Sets the organisation of the request.
     pub(crate) fn with_org(mut self, org: Org) -> Self {
         self.org = Some(org);
         self
     }
 
-    /// Says when to come back, where that is known better than by kind.
+    /// Sets the retry-after time, if a better one is known than that of the kind.
     pub(crate) fn with_retry(mut self, retry: Option<Millis>) -> Self {
         self.retry = retry.or(self.retry);
         self
@@ -71,8 +71,8 @@
     reply
 }
 
-/// Refuses a request that has no place in the router.
-pub(crate) fn early(gw: &Gateway, id: &str, refusal: &Refusal) -> Reply {
+/// Refuses a request that has not been registered with the router.
+pub(crate) fn before_routing(gw: &Gateway, id: &str, refusal: &Refusal) -> Reply {
     if gw.log_budget.take(gw.now()) {
         let code = refusal.code();
         let org = refusal.org.as_ref().map_or("none", |o| o.as_str());
@@ -82,10 +82,11 @@
     reply(gw, id, refusal)
 }
 
-/// Answers a request that the router gave up. Where it may have run, nothing is promised.
-pub(crate) fn late(gw: &Gateway, job: &Job, permit: &Permit, refusal: Refusal) -> Reply {
+/// Answers a request that the router gave up. If the request may have run, the answer does not say
+/// that it did not.
+pub(crate) fn after_routing(gw: &Gateway, job: &Job, permit: &Permit, refusal: Refusal) -> Reply {
     let refusal = match (permit.reached, refusal.kind.answer().outcome) {
-        // Sends of other attempts may have run.
+        // Attempts of other daemons may have run.
         _ if refusal.kind == ErrorKind::EndsUpstreams => refusal,
         (0, Outcome::Unknown) => Refusal::new(ErrorKind::NoUpstream),
         (1.., Outcome::NotRun) => Refusal::new(ErrorKind::UpstreamFailed),
@@ -93,7 +94,7 @@
     };
     let event = if refusal.kind.answer().outcome == Outcome::NotRun {
         if let Some(charge) = &job.charge {
-            gw.give_back(charge);
+            gw.refund(charge);
         }
         LogEvent::RequestRefused
     } else {
@@ -103,14 +104,14 @@
     reply(gw, &job.head.id, &refusal)
 }
 
-/// Answers a request whose time is over.
+/// Answers a request whose deadline has passed.
 pub(crate) fn timed_out(gw: &Gateway, job: &Job, permit: &Permit) -> Reply {
     let kind = if permit.reached > 0 {
         ErrorKind::TimedOut
     } else {
         ErrorKind::DeadlineUnmet
     };
-    late(gw, job, permit, Refusal::new(kind))
+    after_routing(gw, job, permit, Refusal::new(kind))
 }
 
 /// Logs how a request ended.
@@ -136,7 +137,7 @@
         permit.reached,
         now.since(job.arrived),
         permit.expected,
-        permit.first_text(job),
+        permit.time_to_first_text(job),
         permit.pause,
         job.deadline.since(now),
     );
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on to its caller, and resumes it elsewhere where its route allows that.
+//! Passes a stream on to its caller, and resumes it at another upstream if its route allows that.
 
 use crate::attempt::{self, idle_timeout, Failure, Opened};
 use crate::crash_probe::SentAttempt;
@@ -25,41 +25,41 @@
 }
 
 /// How the part of a stream that comes from one upstream ended.
-enum Part {
-    /// The upstream ended it.
+enum PartEnd {
+    /// The upstream completed it.
     Whole,
-    /// The upstream broke it off, or the router gave the upstream up.
+    /// The upstream broke it off, or the router gave up the upstream.
     Broken(Failure),
     /// The caller left.
-    Left,
-    /// Its time is over.
+    CallerLeft,
+    /// The deadline has passed.
     Late,
 }
 
 impl Relay {
-    /// Passes the stream on to its end. Dropping the sender without an end breaks it off,
-    /// so that it never looks whole when it is not.
+    /// Passes the stream on to its end. Dropping the sender without an end breaks the stream off,
+    /// so that it never looks complete when it is not.
     pub(crate) async fn run(mut self, opened: Opened, first: Option<Bytes>) {
         let resumable = self.job.rule.repeat == Repeat::Stream { resumable: true };
         let mut events = resumable.then(EventSplitter::default);
-        let mut part = self.pass(opened, first, &mut events).await;
-        while let (Part::Broken(failure), Some(splitter)) = (&part, &mut events) {
-            splitter.drop_torn();
+        let mut ended = self.forward(opened, first, &mut events).await;
+        while let (PartEnd::Broken(failure), Some(splitter)) = (&ended, &mut events) {
+            splitter.drop_partial();
             let (failure, last) = (*failure, splitter.last_id().map(str::to_owned));
             match self.resume(failure, last).await {
-                Some(opened) => part = self.pass(opened, None, &mut events).await,
+                Some(opened) => ended = self.forward(opened, None, &mut events).await,
                 None => break,
             }
         }
-        self.finish(&part).await;
+        self.finish(&ended).await;
     }
 
-    async fn pass(
+    async fn forward(
         &mut self,
         mut opened: Opened,
         first: Option<Bytes>,
         events: &mut Option<EventSplitter>,
-    ) -> Part {
+    ) -> PartEnd {
         let mut next = first;
         let limit = self.job.deadline;
         loop {
@@ -73,30 +73,30 @@
                     continue;
                 };
                 if self.sender.send(Chunk::Data(whole)).await.is_err() {
-                    return Part::Left;
+                    return PartEnd::CallerLeft;
                 }
             }
             let piece = tokio::select! {
                 piece = opened.exchange.next() => piece,
-                () = self.sender.closed() => return Part::Left,
-                () = self.gw.clock.sleep_until(limit) => return Part::Late,
+                () = self.sender.closed() => return PartEnd::CallerLeft,
+                () = self.gw.clock.sleep_until(limit) => return PartEnd::Late,
             };
             match piece {
                 Ok(Some(bytes)) => next = Some(bytes),
                 Ok(None) => {
-                    let torn = events.as_ref().is_some_and(EventSplitter::is_torn);
-                    if torn {
-                        return Part::Broken(Failure::Garbled);
+                    let partial = events.as_ref().is_some_and(EventSplitter::has_partial);
+                    if partial {
+                        return PartEnd::Broken(Failure::Garbled);
                     }
                     opened.exchange.finish(idle_timeout(&opened.answer));
-                    return Part::Whole;
+                    return PartEnd::Whole;
                 }
-                Err(e) => return Part::Broken(e.into()),
+                Err(e) => return PartEnd::Broken(e.into()),
             }
         }
     }
 
-    /// Opens the stream at another upstream after the last whole event.
+    /// Resumes the stream at another upstream after the last complete event.
     async fn resume(&mut self, failure: Failure, last: Option<String>) -> Option<Opened> {
         let (gw, job) = (Rc::clone(&self.gw), Rc::clone(&self.job));
         attempt::fail(&gw, &job, &mut self.permit, &self.sent, failure).await;
@@ -129,12 +129,12 @@
         }
     }
 
-    async fn finish(self, part: &Part) {
-        let (event, code) = match part {
-            Part::Whole => (LogEvent::RequestEnded, "ok"),
-            Part::Left => (LogEvent::RequestEnded, "caller-left"),
-            Part::Late => (LogEvent::RequestFailed, "timed-out"),
-            Part::Broken(_) => (LogEvent::RequestFailed, "broken-stream"),
+    async fn finish(self, ended: &PartEnd) {
+        let (event, code) = match ended {
+            PartEnd::Whole => (LogEvent::RequestEnded, "ok"),
+            PartEnd::CallerLeft => (LogEvent::RequestEnded, "caller-left"),
+            PartEnd::Late => (LogEvent::RequestFailed, "timed-out"),
+            PartEnd::Broken(_) => (LogEvent::RequestFailed, "broken-stream"),
         };
         let Self {
             gw,
@@ -143,15 +143,15 @@
             sent,
             sender,
         } = self;
-        if matches!(part, Part::Whole) {
+        if matches!(ended, PartEnd::Whole) {
             permit.end(sent.attempt, End::Whole);
-            // A caller that left just now has its whole answer all the same.
+            // A caller that has just left has its complete answer nevertheless.
             sender.send(Chunk::End).await.ok();
         }
-        // The caller learns at once that its stream is broken.
+        // Dropping the sender shows the caller at once that its stream is broken.
         drop(sender);
-        match part {
-            Part::Broken(failure) if !job.is_idempotent() => {
+        match ended {
+            PartEnd::Broken(failure) if !job.is_idempotent() => {
                 attempt::fail(&gw, &job, &mut permit, &sent, *failure).await;
             }
             _ => {}
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,10 +1,9 @@
 //! A caller's request, from its first byte to its answer.
 //!
-//! Read in this order: [`Callers::handle`] here admits it, `job` says how long it waits and
-//! who goes before it, `attempt` sends it, `relay`
-//! passes a stream on, `refuse` answers where no upstream did.
+//! [`Callers::handle`] admits it, `job` decides its waiting time and priority, `attempt` sends it,
+//! `relay` passes a stream on, and `refuse` answers if no upstream did.
 
-use crate::attempt::{self, Ended};
+use crate::attempt::{self, Outcome};
 use crate::job::Job;
 use crate::journal::emit;
 use crate::refuse::{self, Refusal};
@@ -24,31 +23,31 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// A request whose caller gives it less than this part of the route's time came back.
-const BACK_PART: (u64, u64) = (19, 20);
+/// A request whose caller gives it less than this part of the route's time is a retry.
+const RETRY_TIME_PART: (u64, u64) = (19, 20);
 
-/// A caller that names no time waits so long.
-const PATIENCE: Millis = Millis(60_000);
+/// The timeout of a caller that names none.
+const DEFAULT_PATIENCE: Millis = Millis(60_000);
 
-/// An answer must leave so much before the caller's time is over.
-const MARGIN: u64 = 15;
+/// Time before the caller's deadline by which an answer must be sent, in milliseconds.
+const ANSWER_MARGIN_MS: u64 = 15;
 
-/// A request's place in the router. Dropping it before the request has ended means that
-/// its caller has gone.
+/// A request's registration with the router. Dropping it before the request has ended means that
+/// the caller left.
 pub(crate) struct Permit {
     gw: Rc<Gateway>,
     id: RequestId,
     actions: mpsc::UnboundedReceiver<RouteAction>,
-    /// Whether it has no end yet.
+    /// Whether the request has not ended yet.
     pub(crate) open: bool,
-    /// Sends that may have reached an upstream.
+    /// The number of attempts that may have reached an upstream.
     pub(crate) reached: u32,
     pub(crate) sends: u32,
-    /// Where it was sent last.
+    /// The upstream of the latest attempt.
     pub(crate) last: Option<Upstream>,
-    /// When the first byte was expected after the last send.
+    /// The expected time from the latest attempt to its first byte.
     pub(crate) expected: Millis,
-    /// When the first byte came, and the longest pause between two pieces after it.
+    /// When the first byte and the latest piece arrived, and the longest pause between two pieces.
     first: Option<Millis>,
     piece: Millis,
     pub(crate) pause: u64,
@@ -60,7 +59,7 @@
         self.id
     }
 
-    /// Asks for an upstream.
+    /// Registers the request and requests an upstream.
     pub(crate) fn ask(gw: &Rc<Gateway>, job: &Job) -> Self {
         let (id, actions) = gw.register();
         let permit = Self {
@@ -82,7 +81,7 @@
         permit
     }
 
-    /// What the router says next.
+    /// Waits for the router's next action.
     pub(crate) async fn next(&mut self) -> Option<RouteAction> {
         let action = self.actions.recv().await;
         if matches!(action, Some(RouteAction::Refuse { .. })) {
@@ -99,13 +98,13 @@
     }
 
     /// The time from the request's arrival to its first byte.
-    pub(crate) fn first_after(&self, job: &Job) -> Option<u64> {
+    pub(crate) fn time_to_first(&self, job: &Job) -> Option<u64> {
         self.first.map(|f| f.since(job.arrived))
     }
 
-    /// The same for logs.
-    pub(crate) fn first_text(&self, job: &Job) -> String {
-        let first = self.first_after(job);
+    /// The time to the first byte as text for logs.
+    pub(crate) fn time_to_first_text(&self, job: &Job) -> String {
+        let first = self.time_to_first(job);
         first.map_or("none".to_owned(), |f| f.to_string())
     }
 
@@ -149,20 +148,20 @@
         Ok(head) => head,
         Err(e) => {
             let refusal = Refusal::new(ErrorKind::BadRequest).with_reason(e.0);
-            return refuse::early(gw, "", &refusal);
+            return refuse::before_routing(gw, "", &refusal);
         }
     };
     let Some(table) = gw.table().filter(|_| !gw.is_behind()) else {
-        return refuse::early(gw, &head.id, &Refusal::new(ErrorKind::NotReady));
+        return refuse::before_routing(gw, &head.id, &Refusal::new(ErrorKind::NotReady));
     };
     let id = head.id.clone();
     let job = match to_job(gw, &table, head, request, arrived).await {
         Ok(job) => job,
-        Err(refusal) => return refuse::early(gw, &id, &refusal),
+        Err(refusal) => return refuse::before_routing(gw, &id, &refusal),
     };
     match gw.charge_job(&table, job).await {
         Ok(job) => serve(gw, job).await,
-        Err(refusal) => refuse::early(gw, &id, &refusal),
+        Err(refusal) => refuse::before_routing(gw, &id, &refusal),
     }
 }
 
@@ -197,9 +196,9 @@
     let org = org.map(|o| o.name.clone());
     let service = rule.pick(gw.random()).cloned();
     let service = service.ok_or_else(|| Refusal::new(ErrorKind::NoUpstream))?;
-    let patience = head.patience.unwrap_or(PATIENCE).min(rule.timeout);
-    let came_back = patience.0 < rule.timeout.0 * BACK_PART.0 / BACK_PART.1;
-    let deadline = arrived.plus(patience.0.saturating_sub(MARGIN));
+    let patience = head.patience.unwrap_or(DEFAULT_PATIENCE).min(rule.timeout);
+    let is_retry = patience.0 < rule.timeout.0 * RETRY_TIME_PART.0 / RETRY_TIME_PART.1;
+    let deadline = arrived.plus(patience.0.saturating_sub(ANSWER_MARGIN_MS));
     let caller = request.extensions().get::<CallerAddress>().copied();
     let host = host_of(&request).to_owned();
     let (parts, body) = request.into_parts();
@@ -220,18 +219,18 @@
         headers: parts.headers,
         body,
         arrived,
-        came_back,
+        is_retry,
         deadline,
         org,
         charge: None,
     })
 }
 
-/// What a request has in common with its caller's other attempts: each has an id of its own,
-/// and comes on a connection of its own to any daemon.
+/// The identity that all attempts of a caller at one request share: each attempt has an id of its
+/// own and arrives on a connection of its own, at any daemon.
 ///
-/// The address is no part of it: one caller has another address in each data centre, and a request
-/// that ends upstreams ended nine in place of three while it was.
+/// The address is not part of it, because a caller has another address in each data centre: with
+/// the address included, a request that ends upstreams ended nine of them instead of three.
 pub(crate) fn identity_of(
     caller: Option<CallerAddress>,
     host: &str,
@@ -264,12 +263,12 @@
     Ok(whole.freeze())
 }
 
-/// Sends a request until it is answered or refused, in any case by its deadline.
+/// Sends a request until it is answered or refused, at the latest by its deadline.
 async fn serve(gw: &Rc<Gateway>, job: Job) -> Reply {
     note_demand(gw, &job);
     let job = Rc::new(job);
     let mut permit = Permit::ask(gw, &job);
-    let mut spare = None;
+    let mut fallback = None;
     loop {
         let next = gw.clock.timeout_at(job.deadline, permit.next()).await;
         let (attempt, upstream) = match next {
@@ -284,66 +283,68 @@
             }
             Some(Some(RouteAction::Cancel { .. })) => continue,
             Some(Some(RouteAction::Refuse { kind, retry, .. })) => {
-                let retry = retry.or_else(|| come_back(gw, &job));
+                let retry = retry.or_else(|| retry_after(gw, &job));
                 if permit.sends == 0 {
                     gw.note_unmet(&job, retry.unwrap_or_default());
                 }
                 let refusal = Refusal::new(kind).with_retry(retry);
-                return spare.unwrap_or_else(|| refuse::late(gw, &job, &permit, refusal));
+                return fallback
+                    .unwrap_or_else(|| refuse::after_routing(gw, &job, &permit, refusal));
             }
             Some(None) | None => {
-                return spare.unwrap_or_else(|| refuse::timed_out(gw, &job, &permit));
+                return fallback.unwrap_or_else(|| refuse::timed_out(gw, &job, &permit));
             }
         };
         if let Err(refusal) = gw.recheck(&job) {
-            return spare.unwrap_or_else(|| refuse::late(gw, &job, &permit, refusal));
+            return fallback.unwrap_or_else(|| refuse::after_routing(gw, &job, &permit, refusal));
         }
         if permit.sends == 0 {
             gw.metrics.note_wait(gw.now().since(job.arrived));
         }
         match attempt::send(gw, &job, permit, attempt, &upstream).await {
-            Ended::Answered(reply) => {
+            Outcome::Answered(reply) => {
                 gw.note_served(&job);
                 return reply;
             }
-            Ended::Unanswered(back) => permit = back,
-            Ended::Failed(back, reply) => {
+            Outcome::Unanswered(back) => permit = back,
+            Outcome::Failed(back, reply) => {
                 permit = back;
-                spare = Some(reply);
+                fallback = Some(reply);
             }
         }
     }
 }
 
-/// Loading a model that nobody holds takes the planner and an engine with a copy so long.
+/// Time in which the planner and an engine with a copy load a model that no engine holds.
 pub(crate) const LOAD_RETRY: Millis = Millis(1_500);
 
-/// An adapter that nobody holds is there after another one was dropped for it, each by an order of its own.
+/// Time in which an adapter that no engine holds is loaded after another one was dropped for it,
+/// each by its own order.
 pub(crate) const ADAPTER_RETRY: Millis = Millis(500);
 
-/// Another planner orders what was waited for meanwhile within so long of its claim.
-const SUCCESSOR: Millis = Millis(700);
+/// Time after its takeover within which a new planner orders what callers have waited for.
+const TAKEOVER: Millis = Millis(700);
 
-/// Those who were refused while nobody planned come back over a part of that time, the first of them
-/// first: all at once they would find the places taken for each other.
-const RETURN_PART: u64 = 2;
+/// Callers refused while there is no planner are spread over this fraction of that time, in the
+/// order of their refusal: if all retried at once, they would take the slots from each other.
+const SPREAD_PART: u64 = 2;
 
-/// But no later than so long after the first, however long nobody planned, and as much for each planner
-/// that died before.
-const RETURN_MOST: Millis = Millis(3_000);
+/// The upper limit of that spread, however long there was no planner; each planner that died before
+/// adds as much.
+const MAX_SPREAD: Millis = Millis(3_000);
 
-/// What is served is short of engines, and stays so until streams of some seconds end or
-/// another engine has loaded the model. Who comes back after a quarter of a second finds
-/// no more room: of the chats refused, 55 in place of 65 in 1,000 were not served in the
-/// end with a second, by 30 days played with and without.
-const CROWDED: Millis = Millis(1_000);
+/// Retry-after time when the engines that serve a model are overloaded. The overload lasts until
+/// streams of some seconds end or another engine has loaded the model, so a retry after 250 ms
+/// finds no more capacity: with one second, 55 instead of 65 in 1,000 refused chats were not served
+/// in the end, in 30 simulated days.
+const OVERLOADED_RETRY: Millis = Millis(1_000);
 
-/// When to come back, by what the request lacks.
-fn come_back(gw: &Gateway, job: &Job) -> Option<Millis> {
+/// The retry-after time, by what the request lacks.
+fn retry_after(gw: &Gateway, job: &Job) -> Option<Millis> {
     let base = job.base()?;
     let router = gw.router.borrow();
     Some(if router.is_served(&job.route()) {
-        CROWDED
+        OVERLOADED_RETRY
     } else if router.is_served(&base) {
         load_retry(gw, ADAPTER_RETRY)
     } else {
@@ -351,21 +352,21 @@
     })
 }
 
-/// When to come back for what a planner has to load first, where that takes so long. While nobody plans,
-/// nothing is loaded.
+/// The retry-after time for a model or adapter that a planner has to load, which takes `takes`.
+/// Nothing is loaded while there is no planner.
 pub(crate) fn load_retry(gw: &Gateway, takes: Millis) -> Millis {
     match gw.planner_lease.borrow().vacancy(gw.now()) {
         Some(vacancy) => {
-            // As many more come meanwhile as more daemons plan in vain.
-            let turn = (vacancy.lasted.0 / RETURN_PART).min(RETURN_MOST.0) * (1 + vacancy.deaths);
-            let waits = vacancy.left.plus(vacancy.more.0).plus(SUCCESSOR.0);
+            // Callers arrive in proportion to the number of planners that died in between.
+            let turn = (vacancy.lasted.0 / SPREAD_PART).min(MAX_SPREAD.0) * (1 + vacancy.deaths);
+            let waits = vacancy.left.plus(vacancy.more.0).plus(TAKEOVER.0);
             takes.plus(waits.0).plus(turn)
         }
         None => takes,
     }
 }
 
-/// Counts what is asked for, and tells the planner of an adapter that nobody holds.
+/// Records demand, and requests an adapter that no engine holds from the planner.
 pub(crate) fn note_demand(gw: &Gateway, job: &Job) {
     let Some(model) = &job.head.model else {
         return;
@@ -376,9 +377,9 @@
     let tokens = job.head.prompt.max(shared) as f64;
     let cost = gw.router.borrow().token_cost(&route);
     let adapter = job.head.adapter.as_ref();
-    // Who comes back was counted when it came first: a model that is refused would seem to be
-    // asked for twice as much as it is.
-    if !job.came_back {
+    // A retry was counted at its first attempt: counting it again would double the apparent demand
+    // for a model whose callers are refused.
+    if !job.is_retry {
         gw.demand
             .borrow_mut()
             .note(model, adapter, tokens * cost, now);
@@ -391,17 +392,17 @@
         let fleet = fleets.get(&job.service);
         fleet.is_some_and(|f| f.serves_adapter(model, adapter))
     };
-    // Who came back and is refused again does not come once more.
-    if !held && !job.came_back {
-        gw.want(model, adapter);
+    // A retry that is refused again is not repeated, so an adapter would be loaded too late for it.
+    if !held && !job.is_retry {
+        gw.request_adapter(model, adapter);
     }
 }
 
 impl Gateway {
-    /// Notes that a caller goes away empty-handed and is told to come back after `retry`; only who came for
-    /// the first time counts, and only where no engine is known to serve what it asked for.
+    /// Records that a caller was refused with the retry-after time `retry`. Only first attempts
+    /// count, and only if no engine is known to serve the model or adapter.
     pub(crate) fn note_unmet(&self, job: &Job, retry: Millis) {
-        let Some(model) = job.head.model.as_ref().filter(|_| !job.came_back) else {
+        let Some(model) = job.head.model.as_ref().filter(|_| !job.is_retry) else {
             return;
         };
         if !self.router.borrow().is_served(&job.route()) {
@@ -411,7 +412,7 @@
         }
     }
 
-    /// Notes that a caller is served.
+    /// Records that a caller was served.
     pub(crate) fn note_served(&self, job: &Job) {
         if let Some(model) = &job.head.model {
             let adapter = job.head.adapter.as_ref();
@@ -420,8 +421,8 @@
         }
     }
 
-    /// Asks the planner for an adapter, wherever the planner is.
-    fn want(&self, model: &shaleline_types::Model, adapter: &shaleline_types::Adapter) {
+    /// Requests an adapter from the planner, which may be this daemon.
+    fn request_adapter(&self, model: &shaleline_types::Model, adapter: &shaleline_types::Adapter) {
         let now = self.now();
         if self.planner_lease.borrow().fence(now).is_some() {
             let key = (model.clone(), adapter.clone());
@@ -437,8 +438,8 @@
         self.send(planner.map(|p| (p.address, message)).into_iter().collect());
     }
 
-    /// Notes that another upstream has taken over the address of this one, which is gone,
-    /// whatever its entry still says.
+    /// Records that another upstream has taken over this one's address. This one is gone, even if
+    /// it is still listed.
     pub(crate) fn note_replaced(&self, upstream: &Upstream) {
         emit(
             LogEvent::UpstreamGone,
@@ -448,7 +449,7 @@
         self.apply(crate::roster::Change::Present(upstream.clone()));
     }
 
-    /// Takes back that an upstream holds what it said that it does not.
+    /// Records that an upstream does not hold the model or adapter of a request.
     pub(crate) fn note_missing(&self, upstream: &Upstream, job: &Job) {
         if let Some(model) = &job.head.model {
             let now = self.now();
@@ -459,7 +460,7 @@
 }
 
 impl Repeat {
-    /// The word for logs.
+    /// The name for logs.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Safe => "safe",
--- a/crates/gateway/src/selection.rs
+++ b/crates/gateway/src/selection.rs
@@ -1,7 +1,8 @@
-//! Who chooses the upstream for a request, and word of it between the two.
+//! Selects the upstream for a request, here or at a hub, and exchanges the messages for it.
 //!
-//! A request of this daemon goes to the daemon that chooses for its model or service, or to the
-//! router here; requests of others come to the router here. `dispatch` and `desk` decide.
+//! A request of this daemon goes to the hub that selects for its model or service, or to the local
+//! router; requests that other daemons delegate go to the local router. The decisions are in
+//! `dispatch` and `peer_requests`.
 
 use crate::dispatch::{Answer, AskNote, EndNote, ProgressNote, Step, Ticket};
 use crate::job::{org, LIMITS};
@@ -14,8 +15,8 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What is shared among those that choose: a model with its adapters, or a service.
-fn key_of(route: &Route) -> &str {
+/// The key by which hubs share the selection: a model with its adapters, or a service.
+fn sharing_key(route: &Route) -> &str {
     match route {
         Route::Model { model, .. } => model.as_str(),
         Route::Service(service) => service.as_str(),
@@ -23,16 +24,16 @@
 }
 
 impl Gateway {
-    /// Asks for an upstream, here or there.
+    /// Requests an upstream, from the local router or from a hub.
     pub(crate) fn request_upstream(&self, ask: Ask) {
         let now = self.now();
-        let answers = |hub| self.delegated.borrow().trusts(hub, now);
-        let key = key_of(&ask.route);
-        let chooser = self.mesh.borrow_mut().chooser(key, answers, now);
-        if self.refuse_suspect(&ask, chooser == Selector::NoHub) {
+        let available = |hub| self.delegated.borrow().is_available(hub, now);
+        let key = sharing_key(&ask.route);
+        let selector = self.mesh.borrow_mut().chooser(key, available, now);
+        if self.refuse_suspect(&ask, selector == Selector::NoHub) {
             return;
         }
-        match chooser {
+        match selector {
             Selector::Remote(to) => {
                 let message = self.delegated.borrow_mut().ask(ask, to, now);
                 self.send(vec![(to, message)]);
@@ -41,14 +42,14 @@
         }
     }
 
-    /// Notes the first byte of an answer.
+    /// Records the first byte of an answer.
     pub(crate) fn on_first_byte(&self, id: RequestId, attempt: AttemptNumber) {
         if !self.report(id, ProgressNote::FirstByte(attempt)) {
             self.route(RouteEvent::FirstByte { id, attempt });
         }
     }
 
-    /// Notes that more of an answer came from an upstream.
+    /// Records that more of an answer arrived from an upstream.
     pub(crate) fn on_progress(&self, id: RequestId, attempt: AttemptNumber, from: &Upstream) {
         if self.delegated.borrow().has(id) {
             self.active_upstreams
@@ -59,21 +60,21 @@
         }
     }
 
-    /// Notes how a send ended.
+    /// Records how an attempt ended.
     pub(crate) fn on_end(&self, id: RequestId, attempt: AttemptNumber, end: End) {
         if !self.report(id, ProgressNote::Ended(attempt, EndNote::of(end))) {
             self.route(RouteEvent::Ended { id, attempt, end });
         }
     }
 
-    /// Notes that the caller of a request has gone.
+    /// Records that the caller of a request left.
     pub(crate) fn on_caller_gone(&self, id: RequestId) {
         if !self.report(id, ProgressNote::Gone) {
             self.route(RouteEvent::CallerGone(id));
         }
     }
 
-    /// Notes that an engine does not hold what a request asked it for.
+    /// Reports to the hub that an engine does not hold the model or adapter that a request needs.
     pub(crate) fn report_missing(
         &self,
         id: RequestId,
@@ -81,7 +82,7 @@
         model: &Model,
         adapter: Option<&Adapter>,
     ) {
-        let to = self.delegated.borrow().chooser_of(id);
+        let to = self.delegated.borrow().hub_of(id);
         let message = Message::Missing {
             engine: engine.clone(),
             model: model.clone(),
@@ -90,7 +91,7 @@
         self.send(to.map(|t| (t, message)).into_iter().collect());
     }
 
-    /// Tells whoever chose for a request what became of it; false where that is this daemon.
+    /// Reports the progress of a request to its hub; returns false if this daemon selects for it.
     fn report(&self, id: RequestId, what: ProgressNote) -> bool {
         let message = self.delegated.borrow_mut().report(id, what, self.now());
         let remote = message.is_some();
@@ -98,16 +99,16 @@
         remote
     }
 
-    /// Asks again for what has no answer, and gives up the requests of daemons that are gone.
+    /// Resends unanswered messages and cancels the requests of daemons that are gone.
     pub(crate) fn tick_selection(&self) {
         let now = self.now();
         let steps = self.delegated.borrow_mut().tick(now);
         for step in steps {
             match step {
-                Step::Tell(to, message) => self.send(vec![(to, *message)]),
-                // Another one is asked where there is one; each has its own time to answer.
-                Step::Decide(ask) => self.request_upstream(*ask),
-                Step::GiveUp(id) => self.deliver(&RouteAction::Refuse {
+                Step::Send(to, message) => self.send(vec![(to, *message)]),
+                // The next hub is asked if there is one; each hub has its own time to answer.
+                Step::SelectHere(ask) => self.request_upstream(*ask),
+                Step::Fail(id) => self.deliver(&RouteAction::Refuse {
                     id,
                     kind: ErrorKind::UpstreamFailed,
                     retry: None,
@@ -115,27 +116,27 @@
             }
         }
         let gone = self.peer_requests.borrow_mut().tick(now);
-        gone.into_iter().for_each(|id| self.close_guest(id));
+        gone.into_iter().for_each(|id| self.close_peer_request(id));
         if now.since(self.open_reported.get()) >= OPEN_INTERVAL_MS {
             self.open_reported.set(now);
-            self.tell_open();
+            self.report_open();
         }
     }
 
-    /// Tells those that choose for this daemon what is open.
-    fn tell_open(&self) {
+    /// Reports the open requests of this daemon to their hubs.
+    fn report_open(&self) {
         let open = self.delegated.borrow().open();
         let alive: Vec<Tag> = std::mem::take(&mut *self.active_upstreams.borrow_mut())
             .into_iter()
             .collect();
-        let mut told = self.open_receivers.borrow_mut();
-        let ended: Vec<SocketAddr> = told
+        let mut receivers = self.open_receivers.borrow_mut();
+        let ended: Vec<SocketAddr> = receivers
             .iter()
             .filter(|t| !open.contains_key(*t))
             .copied()
             .collect();
-        *told = open.keys().copied().collect::<BTreeSet<SocketAddr>>();
-        drop(told);
+        *receivers = open.keys().copied().collect::<BTreeSet<SocketAddr>>();
+        drop(receivers);
         let open = open
             .into_iter()
             .chain(ended.into_iter().map(|e| (e, Vec::new())));
@@ -146,8 +147,8 @@
         self.send(messages.collect());
     }
 
-    fn close_guest(&self, id: RequestId) {
-        self.peer_requests.borrow_mut().close(id);
+    fn close_peer_request(&self, id: RequestId) {
+        self.peer_requests.borrow_mut().remove(id);
         self.route(RouteEvent::CallerGone(id));
     }
 
@@ -155,10 +156,10 @@
         self.send(vec![(to, Message::Answer(ticket, answer))]);
     }
 
-    /// Takes in a request of another daemon.
+    /// Handles a request that another daemon delegates.
     pub(crate) fn handle_ask(&self, from: &Sender, ticket: Ticket, note: AskNote) {
         let now = self.now();
-        if !self.peer_requests.borrow().knows(ticket) {
+        if !self.peer_requests.borrow().contains(ticket) {
             let id = self.next_id();
             self.peer_requests
                 .borrow_mut()
@@ -166,7 +167,7 @@
             self.first_request.notify_one();
             let ask = note.into_ask(id, org(), LIMITS, now);
             self.route(RouteEvent::Arrive(Box::new(ask)));
-            // What was decided has been answered.
+            // The router's decision has been sent as the answer already.
             if self.peer_requests.borrow_mut().answer(ticket, now) != Answer::Queued {
                 return;
             }
@@ -174,50 +175,50 @@
         self.handle_poll(from, ticket);
     }
 
-    /// Says again what was decided about a request of another daemon.
+    /// Sends the last answer to a request of another daemon again.
     pub(crate) fn handle_poll(&self, from: &Sender, ticket: Ticket) {
         let answer = self.peer_requests.borrow_mut().answer(ticket, self.now());
         self.answer(from.address, ticket, answer);
     }
 
-    /// Takes in what became of a request of another daemon.
+    /// Handles the progress of a request of another daemon.
     pub(crate) fn handle_progress(&self, ticket: Ticket, what: ProgressNote) {
         let Some(id) = self.peer_requests.borrow().find(ticket) else {
             return;
         };
         match what {
             ProgressNote::FirstByte(attempt) => self.route(RouteEvent::FirstByte { id, attempt }),
-            ProgressNote::Gone => self.close_guest(id),
+            ProgressNote::Gone => self.close_peer_request(id),
             ProgressNote::Ended(attempt, end) => {
                 let end = end.to_end();
                 if end == End::NotSent {
-                    self.note_unreached(id);
+                    self.note_refused_connection(id);
                 }
-                self.peer_requests.borrow_mut().wait(id);
+                self.peer_requests.borrow_mut().set_queued(id);
                 self.route(RouteEvent::Ended { id, attempt, end });
                 if matches!(end, End::Whole | End::Cancelled) {
-                    self.peer_requests.borrow_mut().close(id);
+                    self.peer_requests.borrow_mut().remove(id);
                 }
             }
         }
     }
 
-    /// An engine refused another daemon's connection.
-    fn note_unreached(&self, id: RequestId) {
+    /// Records that an engine refused another daemon's connection.
+    fn note_refused_connection(&self, id: RequestId) {
         let at = self.router.borrow().upstream_of(id).cloned();
         if let Some(at) = at {
             self.with_fleet(&at, |f| f.note_unreachable(&at, self.now()));
         }
     }
 
-    /// Takes in what another daemon has open.
+    /// Handles another daemon's report of its open requests.
     pub(crate) fn handle_open(&self, from: &Sender, requests: &[u64], alive: &[Tag]) {
         let now = self.now();
         let ended = self
             .peer_requests
             .borrow_mut()
             .on_open(from.life, requests, now);
-        ended.into_iter().for_each(|id| self.close_guest(id));
+        ended.into_iter().for_each(|id| self.close_peer_request(id));
         let names = self.upstream_tags.borrow();
         let mut router = self.router.borrow_mut();
         for upstream in alive.iter().filter_map(|t| names.get(t)) {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Takes in what another daemon chose for a request of this one.
+    /// Handles a hub's answer about a request of this daemon.
     pub(crate) fn handle_answer(&self, ticket: Ticket, answer: Answer) {
         let actions = self
             .delegated
@@ -244,12 +245,12 @@
         }
     }
 
-    /// Whether this daemon knows that an upstream gets no new work, or does not know it.
+    /// Whether an upstream is known to take no new work, or is not known at all.
     fn is_out_of_use(&self, upstream: &Upstream) -> bool {
         self.roster.borrow().is_leaving(upstream)
     }
 
-    /// Gives an action to the request that it is about, of this daemon or of another.
+    /// Delivers an action to its request, of this daemon or of another one.
     pub(crate) fn deliver(&self, action: &RouteAction) {
         let (RouteAction::Send { id, .. }
         | RouteAction::Cancel { id, .. }
@@ -262,14 +263,14 @@
         let reply = self
             .peer_requests
             .borrow_mut()
-            .decide(id, answer, self.now());
+            .set_answer(id, answer, self.now());
         // A request that has just ended needs no more actions.
         if let Some((to, ticket, answer)) = reply {
             self.answer(to, ticket, answer);
         }
     }
 
-    /// Takes back that an engine holds something.
+    /// Records that an engine does not hold a model or adapter.
     pub(crate) fn handle_missing(
         &self,
         engine: &Upstream,
@@ -280,10 +281,10 @@
         self.with_fleet(engine, |f| f.note_absent(engine, model, adapter, now));
     }
 
-    /// Stops choosing for others: this daemon stops.
+    /// Stops selecting for other daemons, because this daemon stops.
     pub(crate) fn resign(&self) {
-        let told = self.mesh.borrow_mut().resign(self.now());
-        let messages = told.into_iter().map(|t| (t, Message::Resigned));
+        let receivers = self.mesh.borrow_mut().resign(self.now());
+        let messages = receivers.into_iter().map(|t| (t, Message::Resigned));
         self.send(messages.collect());
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway must be told before it starts.
+//! The settings of a gateway.
 
 use crate::Revocation;
 use shaleline_route::Tolerance;
@@ -8,39 +8,39 @@
 /// The addresses that a gateway listens on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether this daemon takes work.
+    /// The address for the balancer's readiness check.
     pub ready: SocketAddr,
-    /// For other daemons; datagrams.
+    /// The address for datagrams of other daemons.
     pub peers: SocketAddr,
-    /// For metrics and the state dump.
+    /// The address for metrics and the state dump.
     pub metrics: SocketAddr,
 }
 
-/// The bounds that the platform gives.
+/// The bounds that the platform sets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
     /// The time within which a leaving upstream must get no new work.
     pub drain: Millis,
     /// The time within which an accepted configuration must be in force.
     pub apply: Millis,
-    /// The time from the request to stop to the kill.
+    /// The time from the request to stop until the process is killed.
     pub grace: Millis,
     /// The time that must pass between the orders of two planners.
     pub lease: Millis,
-    /// The part of a service's requests that may be sent again, and what may come on
-    /// top, over all daemons, in `window`.
+    /// The fraction of a service's requests that may be sent again, over all daemons in a window;
+    /// `retry_extra` is added to it.
     pub retry_ratio: f64,
-    /// See `retry_ratio`.
+    /// The number of requests that may be sent again on top of `retry_ratio`.
     pub retry_extra: f64,
-    /// The window that loads from the weight store are counted in.
+    /// The window in which loads from the weight store are counted.
     pub load_window: Millis,
-    /// By how much the store's rate may be passed in that window.
+    /// By how much the weight store's rate may be exceeded in that window.
     pub load_over: f64,
-    /// What holds for keys that are taken away.
+    /// The rule for revoked keys.
     pub revocation: Revocation,
-    /// By how much allowances may be passed.
+    /// By how much allowances may be exceeded.
     pub tolerance: Tolerance,
 }
 
@@ -53,40 +53,40 @@
     pub ip: Ipv4Addr,
     /// Its data centre.
     pub centre: DataCentre,
-    /// How many data centres there are, each of which keeps a part of the allowances.
+    /// The number of data centres, each of which keeps a share of the allowances.
     pub centres: usize,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub listen: Listen,
-    /// Where some other daemons listen for their peers; any of them may be gone.
+    /// The peer addresses of some other daemons; any of them may be gone.
     pub seeds: Vec<SocketAddr>,
     /// The bandwidth of its link, in megabits a second.
     pub link_mbps: f64,
-    /// Its part of a processor.
+    /// Its share of processor cores.
     pub cores: f64,
-    /// Whether the whole system starts for the first time: then no caller waits yet.
+    /// Whether the whole system starts for the first time, so that no caller waits yet.
     pub first_start: bool,
     /// The platform's bounds.
     pub bounds: Bounds,
-    /// How the gateway decides.
+    /// The parameters of the gateway's decisions.
     pub policy: Policy,
 }
 
 impl GatewaySettings {
-    /// How long a read of the configuration waits for a change. One that is cut off from the
-    /// store notices at the end of a wait; those who follow it must then still have the time to
-    /// look elsewhere within the bound.
+    /// How long a read of the configuration waits for a change. A daemon that is cut off from the
+    /// store notices it at the end of a wait; the daemons that follow it must then still have the
+    /// time to switch to another hub within the bound.
     #[must_use]
     pub fn config_wait(&self, apply: Millis) -> Millis {
-        /// What noticing, asking other hubs and reading take.
-        const ELSEWHERE_MS: u64 = 1_200;
-        /// Longer waits save little, as one daemon waits for all.
-        const MOST_MS: u64 = 1_500;
-        let wait = apply.0.saturating_sub(ELSEWHERE_MS).min(MOST_MS);
+        /// Time for noticing a failure, asking other hubs and reading.
+        const FAILOVER_MS: u64 = 1_200;
+        /// Longer waits save little, because one daemon waits for all.
+        const MAX_WAIT_MS: u64 = 1_500;
+        let wait = apply.0.saturating_sub(FAILOVER_MS).min(MAX_WAIT_MS);
         self.policy.config_wait.max(Millis(wait))
     }
 
-    /// How long the one that reads for all waits for a change. What callers' keys are relied on by is
-    /// as old as the beginning of its last read.
+    /// How long the daemon that reads for all waits for a change. The configuration is confirmed as
+    /// of the beginning of its last read, and callers' keys rely on that age.
     #[must_use]
     pub fn read_wait(&self, bounds: &Bounds) -> Millis {
         match bounds.revocation.closed {
@@ -95,36 +95,37 @@
         }
     }
 
-    /// How well this instance can serve as a hub. A hub of 30 daemons sends some 3 Mbit/s
-    /// in bursts and reads the store for them.
+    /// A score of how well this instance can serve as a hub. A hub of 30 daemons sends some 3
+    /// Mbit/s in bursts and reads the store for them.
     #[must_use]
     pub fn strength(&self) -> u8 {
-        /// Links and processors at which the bursts do no harm to requests.
-        const LINKS: [f64; 2] = [50.0, 100.0];
+        /// Link bandwidths in Mbit/s and processor cores with which the bursts do not delay
+        /// requests.
+        const LINKS_MBPS: [f64; 2] = [50.0, 100.0];
         const CORES: f64 = 0.24;
-        let links = LINKS.iter().filter(|l| self.link_mbps >= **l).count() as u8;
+        let links = LINKS_MBPS.iter().filter(|l| self.link_mbps >= **l).count() as u8;
         links + u8::from(self.cores >= CORES)
     }
 }
 
-/// The figures that decide, each with its unit and where it comes from. They are the
-/// baselines' switches too: `docs/MEASUREMENTS.md` compares them.
+/// Parameters of the gateway's decisions. They also switch it to the baselines that
+/// `docs/MEASUREMENTS.md` compares.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// How often the upstreams' entries are read: within the drain bound of 2 s a read
-    /// may fail once.
+    /// Interval at which the upstreams' entries are read: one read may fail within the drain bound
+    /// of 2 s.
     pub read_interval: Millis,
-    /// How long a read of the configuration waits for a change at the least; see
+    /// The least time that a read of the configuration waits for a change; see
     /// [`GatewaySettings::config_wait`].
     pub config_wait: Millis,
-    /// How long a call to the store may take beyond what it waits.
+    /// The time that a call to the store may take beyond its wait.
     pub store_timeout: Millis,
-    /// What a prompt token costs before anything was measured, in milliseconds: the data
-    /// sheet's 19.1 tokens a millisecond.
+    /// The cost of a prompt token before any was measured, in milliseconds: the data sheet gives
+    /// 19.1 tokens a millisecond.
     pub token_ms: f64,
     /// Whether this daemon may plan for the engines.
     pub plans: bool,
-    /// How often the planner looks at the fleet.
+    /// Interval at which the planner checks the fleet.
     pub plan_interval: Millis,
 }
 
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Brings a gateway up, and down again.
+//! Starts and stops a gateway.
 
 use crate::control::Control;
 use crate::handover::Copies;
@@ -16,31 +16,32 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// How often waiting and hanging requests are looked at.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval at which waiting and hanging requests are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often the rest is looked at while there are no requests. Each wake-up costs a small
-/// instance as much as deciding about a request.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+/// Interval of the periodic work while there are no requests. Each wake-up costs a small instance
+/// as much as the decision about a request.
+const IDLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often what is old is dropped.
+/// Interval at which expired state is dropped.
 const HOUSEKEEPING_MS: u64 = 1_000;
 
-/// How often calls to the store are summed up in the log.
+/// Interval at which calls to the store are summarised in the log.
 const SUMMARY_MS: u64 = 10_000;
 
-/// The balancer asks once a second and takes a daemon out after two misses.
-const SERVE_ON: Millis = Millis(2_300);
+/// Time for which a stopping daemon still serves: the balancer checks once a second and removes a
+/// daemon after two failures.
+const BALANCER_DELAY: Millis = Millis(2_300);
 
-/// What is left of the grace time for the process to end.
-const END_MARGIN: u64 = 400;
+/// The part of the grace period that is left for the process to exit, in milliseconds.
+const EXIT_MARGIN_MS: u64 = 400;
 
-/// The part of it in which the last answers are written.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
+/// The part of that margin in which the last answers are written.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Limits of the sockets that only the platform and operators use.
 const CONTROL_IDLE: Duration = Duration::from_secs(30);
-const CONTROL_HEAD: usize = 8_192;
+const CONTROL_HEAD_BYTES: usize = 8_192;
 
 /// A running gateway.
 pub struct Running {
@@ -64,12 +65,12 @@
 /// Starts a gateway on the current thread's runtime.
 ///
 /// # Errors
-/// Where an address can't be bound. Metrics are not worth a refusal to serve: where their
-/// address is taken, that is logged.
-pub async fn start(settings: GatewaySettings, border: Platform) -> Result<Running> {
+/// If an address can't be bound. The metrics address is an exception: the gateway serves without
+/// metrics and logs the failure.
+pub async fn start(settings: GatewaySettings, platform: Platform) -> Result<Running> {
     let (outbox, messages) = mpsc::unbounded_channel();
     let listens = settings.listen.clone();
-    let gw = Gateway::new(settings, border, outbox)?;
+    let gw = Gateway::new(settings, platform, outbox)?;
     let detail = format!(
         "instance={} life={:016x} centre={} callers={}",
         gw.me.instance, gw.me.life, gw.settings.centre, listens.callers
@@ -77,11 +78,11 @@
     emit(LogEvent::Started, &detail);
     let socket = UdpSocket::bind(listens.peers).await;
     let socket = Rc::new(socket.wrap_err("can't bind the peers' address")?);
-    let control = Gate::new(CONTROL_IDLE, CONTROL_HEAD);
+    let control = Gate::new(CONTROL_IDLE, CONTROL_HEAD_BYTES);
     listen(listens.callers, &gw.gate, Rc::new(Callers(Rc::clone(&gw))))?;
     let answers = |operators| Rc::new(Control::new(&gw, operators));
     listen(listens.ready, &control, answers(false))?;
-    let peers = Gate::new(CONTROL_IDLE, CONTROL_HEAD);
+    let peers = Gate::new(CONTROL_IDLE, CONTROL_HEAD_BYTES);
     listen(listens.peers, &peers, Rc::new(Copies(Rc::clone(&gw))))?;
     let metrics = listen(listens.metrics, &control, answers(true));
     if let Err(e) = metrics {
@@ -98,30 +99,30 @@
     Ok(Running { gw })
 }
 
-/// Looks at what time alone changes, for as long as the process lives.
+/// Runs the periodic work for as long as the process lives.
 async fn tick(gw: Rc<Gateway>) {
     let mut ready = false;
     let mut keys = true;
     let mut cleaned = gw.now();
     let mut summed = gw.now();
     loop {
-        let pace = wait_for_tick(&gw).await;
+        let interval = wait_for_tick(&gw).await;
         note_suspension(&gw);
-        run_tick(&gw, pace);
+        run_tick(&gw, interval);
         if ready != gw.is_ready() {
             ready = gw.is_ready();
-            tell_ready(&gw, ready);
+            log_ready(&gw, ready);
         }
         if keys != gw.knows_keys() {
             keys = !keys;
-            tell_keys(&gw, keys);
+            log_keys(&gw, keys);
         }
         let now = gw.now();
         if now.since(cleaned) >= HOUSEKEEPING_MS {
             cleaned = now;
             gw.pool.prune();
             gw.allowances.borrow_mut().prune(now);
-            drop_gone(&gw);
+            remove_gone(&gw);
         }
         if now.since(summed) >= SUMMARY_MS {
             summed = now;
@@ -130,19 +131,19 @@
     }
 }
 
-/// Does what time alone brings about, `pace` milliseconds after the last time at the latest. First what
-/// is no longer believed: after a stall or a suspension nothing may be sent to an upstream whose
-/// removal should have taken effect meanwhile.
-pub(crate) fn run_tick(gw: &Gateway, pace: u64) {
-    gw.stall_detector.borrow_mut().on_tick(pace, gw.now());
+/// Runs the periodic work once, at most `interval` milliseconds after the previous run. Expired
+/// upstreams come first: after a stall or a suspension no request may be sent to an upstream whose
+/// removal should have taken effect in the meantime.
+pub(crate) fn run_tick(gw: &Gateway, interval: u64) {
+    gw.stall_detector.borrow_mut().on_tick(interval, gw.now());
     let changes = gw.roster.borrow_mut().tick(gw.now());
     gw.apply_all(changes);
     gw.route(RouteEvent::Tick);
     gw.tick_selection();
 }
 
-/// Drops kept connections that outlived their time while the instance was suspended. What is believed
-/// grows old by the same clock: nothing else needs to be told.
+/// Drops kept connections that expired while the instance was suspended. All other state expires by
+/// the same clock and needs no special handling.
 fn note_suspension(gw: &Gateway) {
     if let Some(suspended) = gw.clock.look_for_suspension() {
         emit(LogEvent::Suspended, &format!("ms={}", suspended.0));
@@ -152,15 +153,19 @@
 
 /// Waits for the next tick; returns how long that may take, in milliseconds.
 async fn wait_for_tick(gw: &Gateway) -> u64 {
-    let pace = if gw.has_requests() { TICK } else { IDLE_TICK };
+    let interval = if gw.has_requests() {
+        TICK_INTERVAL
+    } else {
+        IDLE_INTERVAL
+    };
     tokio::select! {
-        () = tokio::time::sleep(pace) => {}
+        () = tokio::time::sleep(interval) => {}
         () = gw.first_request.notified() => {}
     }
-    pace.as_millis() as u64
+    interval.as_millis() as u64
 }
 
-fn tell_ready(gw: &Gateway, ready: bool) {
+fn log_ready(gw: &Gateway, ready: bool) {
     let event = match ready {
         true => LogEvent::Ready,
         false => LogEvent::NotReady,
@@ -169,7 +174,7 @@
     emit(event, &detail);
 }
 
-fn tell_keys(gw: &Gateway, known: bool) {
+fn log_keys(gw: &Gateway, known: bool) {
     let event = match known {
         true => LogEvent::KeysKnown,
         false => LogEvent::KeysStale,
@@ -181,8 +186,8 @@
     emit(event, &format!("config={version} age_ms={age}"));
 }
 
-/// Forgets upstreams that are gone once nothing is at work there.
-fn drop_gone(gw: &Gateway) {
+/// Removes upstreams that are no longer listed once no request runs there.
+fn remove_gone(gw: &Gateway) {
     let idle = |n: &Upstream| {
         let unlisted = gw.roster.borrow().get(n).is_none();
         let load = gw.router.borrow().own_load(n);
@@ -194,19 +199,19 @@
     }
 }
 
-/// Answers what is still unanswered at the end of a stop: a connection that closes without
-/// an answer would not even tell whether the request has run.
-async fn end_all(gw: &Gateway) {
-    gw.give_up_all();
-    let limit = tokio::time::Instant::now() + LAST_ANSWERS;
+/// Answers the remaining requests at the end of a stop: a connection that closes without an answer
+/// would not even show whether the request has run.
+async fn end_remaining(gw: &Gateway) {
+    gw.end_unanswered();
+    let limit = tokio::time::Instant::now() + LAST_ANSWERS_TIMEOUT;
     while gw.gate.busy() > 0 && tokio::time::Instant::now() < limit {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
 impl Running {
-    /// Takes settings over that changed while the process runs: the platform's bounds. What
-    /// names addresses holds from the next start.
+    /// Applies changed settings while the process runs, which are the platform's bounds. Changed
+    /// addresses take effect at the next start.
     pub fn update(&self, settings: &GatewaySettings) {
         let changed = *self.gw.bounds.borrow() != settings.bounds;
         if changed {
@@ -216,13 +221,13 @@
         }
     }
 
-    /// Logs that changed settings can't be understood; those before stay in force.
+    /// Logs that changed settings can't be parsed; the previous ones stay in force.
     pub fn refuse_update(&self, reason: &str) {
         emit(LogEvent::SettingsRefused, &format!("reason={reason:?}"));
     }
 
-    /// Stops as planned: the balancer learns of it, what is in flight ends, idle
-    /// connections close; in any case before the platform kills the process.
+    /// Stops in an orderly way: the balancer is informed, running requests complete and idle
+    /// connections close, in any case before the platform kills the process.
     pub async fn stop(self) {
         let gw = self.gw;
         gw.stopping.set(true);
@@ -230,20 +235,20 @@
         gw.plan_now.notify_one();
         emit(LogEvent::Stopping, &format!("in_flight={}", gw.gate.busy()));
         let grace = gw.bounds.borrow().grace;
-        let limit = Millis(grace.since(SERVE_ON).saturating_sub(END_MARGIN));
-        let mut drain = Drain::new(SERVE_ON, limit);
+        let limit = Millis(grace.since(BALANCER_DELAY).saturating_sub(EXIT_MARGIN_MS));
+        let mut drain = Drain::new(BALANCER_DELAY, limit);
         let mut action = drain.stop(gw.now());
         loop {
             match action {
                 Some(DrainAction::Announce) => gw.gate.begin_closing(),
                 Some(DrainAction::Refuse) => gw.gate.close(),
                 Some(DrainAction::Exit) => {
-                    end_all(&gw).await;
+                    end_remaining(&gw).await;
                     break;
                 }
                 None => {}
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             let left = Unfinished {
                 requests: gw.gate.busy(),
                 records: 0,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a gateway share. All of them run on one thread.
+//! The state that the tasks of a gateway share. All of them run on one thread.
 
 use crate::allowance::Allowances;
 use crate::claiming::Inherited;
@@ -6,7 +6,7 @@
 use crate::dispatch::DelegatedRequests;
 use crate::gossip::Addressed;
 use crate::hearing::Hearing;
-use crate::journal::{emit, LineBudget};
+use crate::journal::{emit, LineLimiter};
 use crate::mesh::Mesh;
 use crate::message::{Sender, Tag};
 use crate::metrics::Metrics;
@@ -35,31 +35,32 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, Notify};
 
-/// How long a connection to an upstream may take to open; in a data centre it takes a
-/// few milliseconds, and a lost packet is sent again after some hundred.
-const CONNECT: Duration = Duration::from_millis(600);
+/// Time in which a connection to an upstream must open. In a data centre it takes a few
+/// milliseconds, and a lost packet is sent again after some hundred.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long bytes may stay unacknowledged before a connection counts as dead.
-const DEAD: Duration = Duration::from_millis(2_000);
+/// Time after which a connection with unacknowledged bytes counts as dead.
+const DEAD_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Connections to one upstream where nothing is known of its limit.
-const CONNECTIONS: usize = 60;
+/// Connections to one upstream if its limit is not known.
+const DEFAULT_CONNECTIONS: usize = 60;
 
 /// The limits before any configuration is known.
-const IDLE: Duration = Duration::from_secs(10);
-const HEAD: usize = 16_384;
+const DEFAULT_IDLE: Duration = Duration::from_secs(10);
+const DEFAULT_HEAD_BYTES: usize = 16_384;
 
-/// The part of the retry budget that is used: what others use meanwhile is not known.
+/// The fraction of the retry budget that is used, because the other daemons' use in the meantime is
+/// not known.
 const BUDGET_USED: f64 = 0.6;
 
-/// The part of the retry budget of the daemons that choose for all; the others choose only where
-/// these do not answer.
-const CHOOSERS_PART: f64 = 0.8;
+/// The fraction of the retry budget that the hubs share; other daemons select only if the hubs do
+/// not answer.
+const HUBS_PART: f64 = 0.8;
 
-/// An engine takes so many requests beyond its slots before it sheds.
+/// Requests that an engine accepts beyond its slots before it sheds load.
 const ENGINE_QUEUE: usize = 60;
 
-/// One start of an engine.
+/// An engine and its incarnation.
 pub(crate) type EngineStart = (Upstream, Incarnation);
 
 /// The state of a gateway.
@@ -74,14 +75,14 @@
     pub(crate) gate: Gate,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
-    pub(crate) log_budget: LineBudget,
+    pub(crate) log_budget: LineLimiter,
     pub(crate) router: RefCell<Router>,
     pub(crate) roster: RefCell<Roster>,
     pub(crate) skipped: RefCell<Skipped>,
     pub(crate) fleets: RefCell<BTreeMap<Service, Fleet>>,
     pub(crate) allowances: RefCell<Allowances>,
     pub(crate) demand: RefCell<Demand>,
-    /// What this daemon's callers asked for in vain.
+    /// The demand of this daemon's callers that was not served.
     pub(crate) unmet: RefCell<UnmetDemand>,
     pub(crate) mesh: RefCell<Mesh>,
     pub(crate) reading: RefCell<Reading>,
@@ -92,22 +93,22 @@
     pub(crate) entries_offset: Cell<u64>,
     /// When this process started.
     pub(crate) started: Millis,
-    /// Whether another daemon told who the hubs are.
+    /// Whether another daemon has reported who the hubs are.
     pub(crate) hubs_known: Cell<bool>,
     /// Whether this daemon knows enough of the others to act as a hub.
     pub(crate) hub_ready: Cell<bool>,
-    /// Tells that a hub marked how far it has read.
+    /// Notifies waiters that a hub reported a new read position.
     pub(crate) position_changed: Notify,
     pub(crate) planner_lease: RefCell<Claim>,
-    /// Whether this daemon hears enough of the others to plan.
+    /// Whether this daemon is in contact with enough others to plan.
     pub(crate) quorum: RefCell<Hearing>,
-    /// When engines had their last orders, from here or from planners before.
+    /// When engines had their last orders, from this daemon or from previous planners.
     pub(crate) last_orders: RefCell<LastOrders>,
-    /// What the planner before left behind, as it was read last.
+    /// The state that the previous planner handed over, as it was read last.
     pub(crate) inherited: RefCell<Option<Inherited>>,
-    /// What this daemon told of engines as the planner.
+    /// What this daemon announced about engines as the planner.
     pub(crate) announced: RefCell<Told>,
-    /// Adapters that somebody waits for, with when that was last said.
+    /// Adapters that callers wait for, each with the time of its latest request.
     pub(crate) wanted_adapters: RefCell<BTreeMap<(Model, shaleline_types::Adapter), Millis>>,
     /// Wakes the planner.
     pub(crate) plan_now: Notify,
@@ -117,22 +118,22 @@
     pub(crate) stopping: Cell<bool>,
     pub(crate) upstreams_known: Cell<bool>,
     table: RefCell<Option<Rc<Table>>>,
-    /// Requests of this daemon for which others choose, and the other way round.
+    /// Requests of this daemon for which hubs select, and requests of others for which this daemon
+    /// does.
     pub(crate) delegated: RefCell<DelegatedRequests>,
     pub(crate) peer_requests: RefCell<PeerRequests>,
-    /// When this daemon last evened out with another what it knows of requests under which
-    /// upstreams ended.
+    /// When this daemon last exchanged its crash records with another one.
     pub(crate) crashes_synced: Cell<Millis>,
-    /// What was seen of upstreams to which sends broke off.
+    /// The recent probes of upstreams whose attempts broke off.
     pub(crate) crash_probes: RefCell<CrashProbes>,
-    /// Upstreams from which bytes came for requests that others chose for.
+    /// Upstreams that sent bytes for requests for which hubs selected.
     pub(crate) active_upstreams: RefCell<BTreeSet<Tag>>,
-    /// When this daemon last told what it has open, and whom.
+    /// When this daemon last reported its open requests, and to which hubs.
     pub(crate) open_reported: Cell<Millis>,
     pub(crate) open_receivers: RefCell<BTreeSet<SocketAddr>>,
-    /// The upstreams by the tags that stand for them.
+    /// The upstreams by their tags.
     pub(crate) upstream_tags: RefCell<HashMap<Tag, Upstream>>,
-    /// Wakes what looks at waiting requests.
+    /// Wakes the task that drives waiting requests.
     pub(crate) first_request: Notify,
     requests: RefCell<HashMap<RequestId, mpsc::UnboundedSender<RouteAction>>>,
     next_number: Cell<u64>,
@@ -149,22 +150,22 @@
 impl Gateway {
     pub(crate) fn new(
         settings: GatewaySettings,
-        border: Platform,
+        platform: Platform,
         outbox: mpsc::UnboundedSender<Addressed>,
     ) -> Result<Rc<Self>> {
         Self::with_clock(
             settings,
-            border,
+            platform,
             outbox,
             Clock::default(),
             SmallRng::from_os_rng(),
         )
     }
 
-    /// A gateway whose time and draws are given.
+    /// A gateway with the given clock and random number generator.
     pub(crate) fn with_clock(
         settings: GatewaySettings,
-        border: Platform,
+        platform: Platform,
         outbox: mpsc::UnboundedSender<Addressed>,
         clock: Clock,
         mut rng: SmallRng,
@@ -180,9 +181,9 @@
         };
         let mesh = Mesh::new(me.clone());
         let pool = PoolSettings {
-            connect: CONNECT,
-            dead: DEAD,
-            most: CONNECTIONS,
+            connect: CONNECT_TIMEOUT,
+            dead: DEAD_TIMEOUT,
+            most: DEFAULT_CONNECTIONS,
         };
         let router = RouterSettings {
             token: settings.policy.token_ms,
@@ -198,13 +199,13 @@
             last_orders: RefCell::new(LastOrders::default()),
             inherited: RefCell::new(None),
             me,
-            codec: border.codec,
-            store: border.store,
+            codec: platform.codec,
+            store: platform.store,
             pool: Pool::with_clock(pool, clock.clone()),
-            gate: Gate::with_clock(IDLE, HEAD, clock.clone()),
+            gate: Gate::with_clock(DEFAULT_IDLE, DEFAULT_HEAD_BYTES, clock.clone()),
             clock,
             metrics: Metrics::new()?,
-            log_budget: LineBudget::new(now),
+            log_budget: LineLimiter::new(now),
             roster: RefCell::new(Roster::default()),
             skipped: RefCell::new(Skipped::default()),
             fleets: RefCell::new(BTreeMap::new()),
@@ -253,8 +254,8 @@
         self.table.borrow().clone()
     }
 
-    /// Puts a version of the configuration in force, unless it is no newer. Returns whether
-    /// it did.
+    /// Puts a version of the configuration in force, unless it is not newer. Returns whether it
+    /// did.
     pub(crate) fn set_table(&self, table: Table) -> bool {
         let before = self.table();
         let old = before.as_ref().map(|t| t.version);
@@ -288,7 +289,7 @@
         true
     }
 
-    /// Hands a change of the list of upstreams to the router and the fleet.
+    /// Passes a change in the list of upstreams to the router and the fleet.
     pub(crate) fn apply(&self, change: Change) {
         match change {
             Change::Present(name) => self.apply_entry(&name),
@@ -358,7 +359,7 @@
         });
     }
 
-    /// Tells the router what an upstream serves now.
+    /// Passes the routes that an upstream serves now to the router.
     pub(crate) fn publish(&self, name: &Upstream) {
         let Some(site) = self.site(name) else {
             return;
@@ -380,7 +381,7 @@
         let fleet = fleets.get(&entry.service);
         let serving = fleet.and_then(|f| f.get(name)).map(|e| e.serving());
         let table = self.table();
-        // What calls itself an engine of a service that has none serves none of another's models.
+        // An engine that registers for a service without engines serves no other service's models.
         let catalog = table.as_ref().and_then(|t| t.catalog(&entry.service));
         let known = |m: &Model| catalog.is_some_and(|c| c.models.contains_key(m));
         let serving = serving.into_iter().flatten();
@@ -398,7 +399,7 @@
         })
     }
 
-    /// Where an upstream listens.
+    /// The address of an upstream.
     pub(crate) fn target(&self, name: &Upstream) -> Option<Target> {
         let roster = self.roster.borrow();
         let entry = roster.get(name)?;
@@ -408,25 +409,25 @@
         })
     }
 
-    /// Gives the router an event and hands its actions to the requests they are about.
+    /// Passes an event to the router and delivers its actions to their requests.
     pub(crate) fn route(&self, event: RouteEvent) {
         let actions = self.router.borrow_mut().step(event, self.now());
         actions.iter().for_each(|a| self.deliver(a));
         self.tell_crashes();
     }
 
-    /// Tells a request of this daemon what to do; false where there is none of that number.
+    /// Passes an action to a request of this daemon; returns false if there is none of that number.
     pub(crate) fn notify_request(&self, id: RequestId, action: &RouteAction) -> bool {
         let requests = self.requests.borrow();
-        let told = requests.get(&id).map(|tell| tell.send(action.clone()));
-        told.is_some()
+        let sent = requests.get(&id).map(|sender| sender.send(action.clone()));
+        sent.is_some()
     }
 
-    /// Gives up every request that has no answer yet: its send is cancelled, and it is
-    /// refused, or fails where it may have run.
-    pub(crate) fn give_up_all(&self) {
+    /// Ends every request that has no answer yet: its attempt is cancelled, and it is refused, or
+    /// fails if it may have run.
+    pub(crate) fn end_unanswered(&self) {
         let upstream = Upstream::from_text("none").expect("a valid name");
-        for (id, tell) in self.requests.borrow().iter() {
+        for (id, sender) in self.requests.borrow().iter() {
             let cancel = RouteAction::Cancel {
                 id: *id,
                 attempt: 0,
@@ -438,30 +439,29 @@
                 retry: None,
             };
             // A request that has just ended needs no more actions.
-            tell.send(cancel).ok();
-            tell.send(refuse).ok();
+            sender.send(cancel).ok();
+            sender.send(refuse).ok();
         }
     }
 
     pub(crate) fn register(&self) -> (RequestId, mpsc::UnboundedReceiver<RouteAction>) {
         let id = self.next_id();
-        let (tell, told) = mpsc::unbounded_channel();
+        let (sender, receiver) = mpsc::unbounded_channel();
         if !self.has_requests() {
             self.first_request.notify_one();
         }
-        self.requests.borrow_mut().insert(id, tell);
-        (id, told)
+        self.requests.borrow_mut().insert(id, sender);
+        (id, receiver)
     }
 
-    /// A number for a request, of this daemon or of another.
+    /// A new number for a request of this daemon or of another one.
     pub(crate) fn next_id(&self) -> RequestId {
         let id = RequestId(self.next_number.get());
         self.next_number.set(id.0 + 1);
         id
     }
 
-    /// Whether there are requests whose answer has not ended, here or at daemons for which this
-    /// one chooses.
+    /// Whether there are open requests, of this daemon or of those for which it selects.
     pub(crate) fn has_requests(&self) -> bool {
         !self.requests.borrow().is_empty() || self.peer_requests.borrow().len() > 0
     }
@@ -470,14 +470,13 @@
         self.requests.borrow_mut().remove(&id);
     }
 
-    /// Divides the retry budget among the daemons that live: most of it among those that choose
-    /// for all.
+    /// Divides the retry budget among the live daemons; the hubs share most of it.
     pub(crate) fn share_budget(&self) {
         let now = self.now();
         let mut mesh = self.mesh.borrow_mut();
         let share = match (mesh.is_hub(now), mesh.choosers(now)) {
-            (true, choosers) => CHOOSERS_PART / choosers as f64,
-            (false, _) => (1.0 - CHOOSERS_PART) / mesh.alive() as f64,
+            (true, choosers) => HUBS_PART / choosers as f64,
+            (false, _) => (1.0 - HUBS_PART) / mesh.alive() as f64,
         };
         drop(mesh);
         let bounds = self.bounds.borrow();
@@ -489,12 +488,12 @@
         });
     }
 
-    /// The service whose engines hold or may hold this one.
+    /// The service of an upstream.
     pub(crate) fn service_of(&self, name: &Upstream) -> Option<Service> {
         self.roster.borrow().get(name).map(|e| e.service.clone())
     }
 
-    /// An engine with the start of it that is known.
+    /// An engine with its latest known incarnation.
     pub(crate) fn start_of(&self, name: &Upstream) -> EngineStart {
         let fleets = self.fleets.borrow();
         let engine = fleets.values().find_map(|f| f.get(name));
@@ -502,7 +501,7 @@
         (name.clone(), incarnation.unwrap_or_default())
     }
 
-    /// Changes what is believed of an engine, and tells the router.
+    /// Changes the state of an engine, and passes what it serves to the router.
     pub(crate) fn with_fleet(&self, name: &Upstream, change: impl FnOnce(&mut Fleet)) {
         let Some(service) = self.service_of(name) else {
             return;
@@ -515,7 +514,7 @@
         self.rng.borrow_mut().random()
     }
 
-    /// The names of all models that some engine serves, for the state dump.
+    /// All models that some engine serves, with their engines, for the state dump.
     pub(crate) fn serving(&self) -> BTreeMap<Model, BTreeSet<Upstream>> {
         let mut all: BTreeMap<Model, BTreeSet<Upstream>> = BTreeMap::new();
         for fleet in self.fleets.borrow().values() {
--- a/crates/gateway/src/table.rs
+++ b/crates/gateway/src/table.rs
@@ -6,16 +6,16 @@
 use shaleline_types::{Millis, Org, Service};
 use std::collections::BTreeMap;
 
-/// How often a request may run.
+/// Whether a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// It is idempotent.
+    /// The request is idempotent.
     Safe,
-    /// It runs at most once.
+    /// The request runs at most once.
     Unsafe,
-    /// Its answer is a stream, which may go on elsewhere only where `resumable`.
+    /// The answer is a stream, which may continue at another upstream only if `resumable`.
     Stream {
-        /// Whether another upstream may go on after the last event.
+        /// Whether another upstream may continue after the last event.
         resumable: bool,
     },
 }
@@ -34,36 +34,36 @@
     }
 }
 
-/// What requests on one path prefix of one host get.
+/// The rule for requests on one path prefix of one host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRule {
     /// The route's name, for logs.
     pub name: String,
     /// The host it belongs to.
     pub host: String,
-    /// The start of the paths it covers; begins and ends with a slash.
+    /// The prefix of the paths it covers; begins and ends with a slash.
     pub prefix: String,
-    /// How often its requests may run.
+    /// Whether its requests may be repeated.
     pub repeat: Repeat,
     /// The longest time from arrival to the end of the answer.
     pub timeout: Millis,
     /// The time within which an answer is worth most.
     pub target: Millis,
-    /// The longest pause within a stream with which its answer is still on time, where the
-    /// route declares one.
+    /// The longest pause within a stream with which its answer is still on time, if the route
+    /// declares one.
     pub pause: Option<Millis>,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it takes requests that show no key.
+    /// Whether it accepts requests without a key.
     pub public: bool,
-    /// How many upstreams one request may reach.
+    /// The number of upstreams that one request may reach.
     pub attempts: u32,
     /// The services that answer, each with its weight.
     pub services: Vec<(Service, u64)>,
 }
 
 impl RouteRule {
-    /// The service for a request, by weight; `draw` is a random number.
+    /// Selects the service for a request by weight; `draw` is a random number.
     #[must_use]
     pub fn pick(&self, draw: u64) -> Option<&Service> {
         let total: u64 = self.services.iter().map(|(_, w)| w).sum();
@@ -78,16 +78,16 @@
     }
 }
 
-/// What is set for one service.
+/// The settings of one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceRule {
-    /// The connections that one of its upstreams takes from all daemons together.
+    /// The connections that one of its upstreams accepts from all daemons together.
     pub connections: usize,
-    /// What its engines may hold; absent for a plain service.
+    /// The models that its engines may hold; none for a plain service.
     pub catalog: Option<Catalog>,
 }
 
-/// What callers may send and how long they may be idle.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The largest head, in bytes.
@@ -109,14 +109,14 @@
     pub rules: Vec<RouteRule>,
     /// The services.
     pub services: BTreeMap<Service, ServiceRule>,
-    /// What callers may send.
+    /// The limits on callers.
     pub limits: CallerLimits,
     /// The organisations; without them callers need no key.
     pub orgs: Option<Orgs>,
 }
 
 impl Table {
-    /// The route for a path: among those of the host the one with the longest prefix.
+    /// The route for a path: the one of the host with the longest matching prefix.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let fits = |r: &&RouteRule| r.host == host && path.starts_with(&r.prefix);
@@ -124,13 +124,13 @@
         rules.max_by_key(|r| r.prefix.len())
     }
 
-    /// What an organisation may use over all daemons; none without a limit.
+    /// The allowance of an organisation over all daemons; none if it is unlimited.
     #[must_use]
     pub fn allowance(&self, org: &Org) -> Option<Allowance> {
         self.orgs.as_ref()?.allowance(org)
     }
 
-    /// What the engines of the service may hold.
+    /// The models that the service's engines may hold.
     #[must_use]
     pub fn catalog(&self, service: &Service) -> Option<&Catalog> {
         self.services.get(service)?.catalog.as_ref()
--- a/crates/gateway/tests/unit/admission.rs
+++ b/crates/gateway/tests/unit/admission.rs
@@ -1,6 +1,6 @@
 //! Whose a request is, and until when a daemon may rely on callers' keys.
 
-use crate::admission::{authenticate, Age, Revocation};
+use crate::admission::{authenticate, ConfigAge, Revocation};
 use crate::message::Echo;
 use crate::reading::Reading;
 use crate::{CostUnit, Head, OrgRule, Orgs, OrgsError, Repeat, RouteRule};
@@ -51,7 +51,7 @@
         closed,
         within: WITHIN,
     };
-    let age: Age = age.map(Millis);
+    let age: ConfigAge = age.map(Millis);
     let org = authenticate(Some(&orgs), &route(public), &head, revocation, APPLY, age)?;
     Ok(org.map_or("none".to_owned(), |o| o.name.to_string()))
 }
--- a/crates/gateway/tests/unit/catalogue/outcomes.rs
+++ b/crates/gateway/tests/unit/catalogue/outcomes.rs
@@ -36,9 +36,9 @@
         }
     }
 
-    pub fn note_caller(&mut self, key: &Key, came_back: bool, served: bool) {
-        self.callers += usize::from(!came_back);
-        match (came_back, served) {
+    pub fn note_caller(&mut self, key: &Key, is_retry: bool, served: bool) {
+        self.callers += usize::from(!is_retry);
+        match (is_retry, served) {
             (true, true) => self.second += 1,
             (true, false) => self.lost += 1,
             (false, _) => {}
--- a/crates/gateway/tests/unit/catalogue/world.rs
+++ b/crates/gateway/tests/unit/catalogue/world.rs
@@ -562,7 +562,7 @@
         }
     }
 
-    fn ask(&mut self, key: Key, came_back: bool) {
+    fn ask(&mut self, key: Key, is_retry: bool) {
         let index = self.rng.random_range(0..self.daemons.len());
         if !self.daemons[index].alive {
             return;
@@ -576,14 +576,14 @@
             ..Head::default()
         };
         let asked_for = Job {
-            came_back,
+            is_retry,
             ..job(head, service(), gw.now())
         };
         note_demand(gw, &asked_for);
         let served = self.engines.serves(&key);
-        self.outcomes.note_caller(&key, came_back, served);
+        self.outcomes.note_caller(&key, is_retry, served);
         let history = self.history.entry(key.clone()).or_default();
-        history.push(format!("{now} asked again={came_back} served={served}"));
+        history.push(format!("{now} asked again={is_retry} served={served}"));
         let told = match self.engines.serves(&(key.0.clone(), None)) {
             true => load_retry(gw, ADAPTER_RETRY),
             false => load_retry(gw, LOAD_RETRY),
@@ -602,7 +602,7 @@
         if !served {
             asked.since.get_or_insert(now);
         }
-        if !served && !came_back {
+        if !served && !is_retry {
             let key_at = (now + told.0 + self.draw(BACK), self.next());
             self.back.insert(key_at, key);
         }
--- a/crates/gateway/tests/unit/choosing.rs
+++ b/crates/gateway/tests/unit/choosing.rs
@@ -193,7 +193,7 @@
             let (RouteAction::Send { id, .. }
             | RouteAction::Cancel { id, .. }
             | RouteAction::Refuse { id, .. }) = &action;
-            let reply = self.desk.decide(*id, Answer::of(&action), now);
+            let reply = self.desk.set_answer(*id, Answer::of(&action), now);
             if let Some((_, ticket, answer)) = reply {
                 self.answer(ticket, answer);
             }
@@ -211,7 +211,7 @@
         let now = Millis(self.now);
         match message {
             Message::Ask(ticket, note) => {
-                if !self.desk.knows(ticket) {
+                if !self.desk.contains(ticket) {
                     self.next += 1;
                     let id = RequestId(self.next);
                     self.desk.open(ticket, desk_address(), id, now);
@@ -233,11 +233,11 @@
                     ProgressNote::FirstByte(_) => {}
                     ProgressNote::Gone => self.route(RouteEvent::CallerGone(id)),
                     ProgressNote::Ended(attempt, end) => {
-                        self.desk.wait(id);
+                        self.desk.set_queued(id);
                         let end = end.to_end();
                         self.route(RouteEvent::Ended { id, attempt, end });
                         if end == End::Whole {
-                            self.desk.close(id);
+                            self.desk.remove(id);
                         }
                     }
                 }
@@ -253,7 +253,7 @@
             let open = self.asked[daemon].open();
             let open: Vec<u64> = open.into_values().flatten().collect();
             for id in self.desk.on_open(daemon as u64, &open, now) {
-                self.desk.close(id);
+                self.desk.remove(id);
                 self.route(RouteEvent::CallerGone(id));
             }
         }
@@ -329,18 +329,18 @@
         }
         let gone = self.desk.tick(now);
         for id in gone {
-            self.desk.close(id);
+            self.desk.remove(id);
             self.route(RouteEvent::CallerGone(id));
         }
         for daemon in 0..DAEMONS {
             for step in self.asked[daemon].tick(now) {
                 match step {
-                    Step::Tell(_, message) => self.tell_desk(*message),
-                    Step::Decide(ask) => {
+                    Step::Send(_, message) => self.tell_desk(*message),
+                    Step::SelectHere(ask) => {
                         let number = self.rng.random_range(0..UPSTREAMS);
                         self.serve(number, daemon, ask.id);
                     }
-                    Step::GiveUp(_) => self.refused += 1,
+                    Step::Fail(_) => self.refused += 1,
                 }
             }
         }
--- a/crates/gateway/tests/unit/crashes/world.rs
+++ b/crates/gateway/tests/unit/crashes/world.rs
@@ -187,7 +187,7 @@
         headers: HeaderMap::new(),
         body: Bytes::new(),
         arrived: now,
-        came_back: false,
+        is_retry: false,
         deadline: now.plus(PATIENCE),
     }
 }
--- a/crates/gateway/tests/unit/events.rs
+++ b/crates/gateway/tests/unit/events.rs
@@ -19,10 +19,10 @@
         let want = (events > 0).then(|| events.to_string());
         assert_eq!(last, want, "cut at {cut}");
         // The rest of a cut event comes anew from the next upstream.
-        splitter.drop_torn();
+        splitter.drop_partial();
         let resumed = &STREAM[out.len()..];
         out.extend(splitter.push(resumed.as_bytes()).unwrap_or_default());
         assert_eq!(out, STREAM.as_bytes(), "cut at {cut}, before {after:?}");
-        assert!(!splitter.is_torn());
+        assert!(!splitter.has_partial());
     }
 }
--- a/crates/gateway/tests/unit/job.rs
+++ b/crates/gateway/tests/unit/job.rs
@@ -12,7 +12,7 @@
 /// The times of a route, in milliseconds: its target, and the longest pause of its streams.
 type Times = (u64, Option<u64>);
 
-fn job((target, pause): Times, came_back: bool) -> Job {
+fn job((target, pause): Times, is_retry: bool) -> Job {
     let repeat = match pause {
         Some(_) => Repeat::Stream { resumable: false },
         None => Repeat::Safe,
@@ -45,7 +45,7 @@
         headers: HeaderMap::new(),
         body: Bytes::new(),
         arrived: NOW,
-        came_back,
+        is_retry,
         deadline: NOW.plus(9_000),
     }
 }
@@ -70,7 +70,7 @@
 
 /// How much work of prompts may be ahead.
 fn paced(times: Times) -> Option<u64> {
-    job(times, false).pace().map(|p| p.0)
+    job(times, false).prompt_backlog().map(|p| p.0)
 }
 
 cases! { paced;
