--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -50,7 +50,7 @@
 
 /// How long to keep the connection on which this answer arrived.
 pub(crate) fn idle_timeout(answer: &AnswerHead) -> Duration {
-    match answer.keep {
+    match answer.keep_alive {
         None => DEFAULT_KEEP_ALIVE,
         Some(keep) if keep > 2 * KEEP_ALIVE_MARGIN => keep - KEEP_ALIVE_MARGIN,
         Some(keep) => keep / 2,
@@ -64,7 +64,7 @@
     NotSent,
     /// See [`SendError::Broken`].
     Broken,
-    /// The upstream ended during the attempt.
+    /// The upstream crashed during the attempt.
     Ended,
     /// The answer belongs to another request, is not signed, or its body is not an upstream's.
     Garbled,
@@ -203,7 +203,7 @@
 ) -> Outcome {
     permit.sends += 1;
     permit.reached += 1;
-    permit.last = Some(upstream.clone());
+    permit.last_upstream = Some(upstream.clone());
     let sent = gw.begin_send(attempt, upstream);
     let result = if job.rule.repeat.is_stream() {
         let opened = open_stream(gw, job, &mut permit, upstream).await;
@@ -223,7 +223,7 @@
     }
 }
 
-/// Records that an attempt failed, after checking whether its upstream ended.
+/// Records that an attempt failed, after checking whether its upstream crashed.
 pub(crate) async fn fail(
     gw: &Gateway,
     job: &Job,
@@ -239,7 +239,7 @@
     note_failure(gw, job, permit, sent, failure);
 }
 
-/// Records that an attempt failed, where it is known whether its upstream ended.
+/// Records that an attempt failed; `failure` says whether its upstream crashed.
 pub(crate) fn note_failure(
     gw: &Gateway,
     job: &Job,
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -85,7 +85,7 @@
     /// The numbers of running and waiting requests, and of slots.
     pub load: Option<(usize, usize, usize)>,
     /// How long the upstream keeps an idle connection; zero if it closes it.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// The upstream that answers, if named. It differs from the addressed one if it has taken over
     /// the address.
     pub instance: Option<String>,
--- a/crates/gateway/src/crash_probe.rs
+++ b/crates/gateway/src/crash_probe.rs
@@ -16,8 +16,8 @@
 
 /// Timeouts of the connections that show whether an upstream still listens. A refusal takes one
 /// round trip of some milliseconds, and the caller waits meanwhile. A second connection follows if
-/// the first gets no answer: on a link that loses one packet in forty, as many crashes would be
-/// missed with one.
+/// the first gets no answer: with one, a link that loses one packet in forty would hide one crash
+/// in forty.
 const PROBE_TIMEOUTS: [Duration; 2] = [Duration::from_millis(60), Duration::from_millis(90)];
 
 /// Time for which a probe's result holds for other attempts that broke off: they break off together
--- a/crates/gateway/src/peer_requests.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -23,7 +23,7 @@
 struct PeerRequest {
     ticket: Ticket,
     address: SocketAddr,
-    last: Answer,
+    last_answer: Answer,
     /// When a message about it was last received.
     last_seen: Millis,
     /// When it ended here.
@@ -58,7 +58,7 @@
         let request = PeerRequest {
             ticket,
             address,
-            last: Answer::Queued,
+            last_answer: Answer::Queued,
             last_seen: now,
             ended: None,
         };
@@ -70,16 +70,16 @@
     pub(crate) fn answer(&mut self, ticket: Ticket, now: Millis) -> Answer {
         let id = self.by_ticket.get(&ticket);
         let request = id.and_then(|id| self.requests.get_mut(id));
-        request.map_or(Answer::Unknown, |g| {
-            g.last_seen = now;
-            g.last.clone()
+        request.map_or(Answer::Unknown, |r| {
+            r.last_seen = now;
+            r.last_answer.clone()
         })
     }
 
     /// Marks a request as queued: an attempt ended, and the router has not decided yet.
     pub(crate) fn set_queued(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.last = Answer::Queued;
+            request.last_answer = Answer::Queued;
         }
     }
 
@@ -94,7 +94,7 @@
         if matches!(answer, Answer::Refuse { .. }) {
             request.ended = Some(now);
         }
-        request.last = answer.clone();
+        request.last_answer = answer.clone();
         Some((request.address, request.ticket, answer))
     }
 
@@ -130,19 +130,19 @@
 
     /// Drops expired answers; returns the requests of daemons that are gone.
     pub(crate) fn tick(&mut self, now: Millis) -> Vec<RequestId> {
-        let old = |g: &PeerRequest| g.ended.is_some_and(|at| now.since(at) >= ANSWER_TTL_MS);
+        let old = |r: &PeerRequest| r.ended.is_some_and(|at| now.since(at) >= ANSWER_TTL_MS);
         let done: Vec<RequestId> = self.ids(old);
         done.into_iter().for_each(|id| self.remove(id));
-        self.ids(|g| g.ended.is_none() && now.since(g.last_seen) >= PEER_TIMEOUT_MS)
+        self.ids(|r| r.ended.is_none() && now.since(r.last_seen) >= PEER_TIMEOUT_MS)
     }
 
     fn ids(&self, wanted: impl Fn(&PeerRequest) -> bool) -> Vec<RequestId> {
-        let requests = self.requests.iter().filter(|(_, g)| wanted(g));
+        let requests = self.requests.iter().filter(|(_, r)| wanted(r));
         requests.map(|(id, _)| *id).collect()
     }
 
     /// The number of open requests of other daemons.
     pub(crate) fn len(&self) -> usize {
-        self.requests.values().filter(|g| g.ended.is_none()).count()
+        self.requests.values().filter(|r| r.ended.is_none()).count()
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -117,7 +117,7 @@
             }
             self.sent = gw.begin_send(attempt, &upstream);
             self.permit.sends += 1;
-            self.permit.last = Some(upstream.clone());
+            self.permit.last_upstream = Some(upstream.clone());
             self.permit.reached += 1;
             let opened = attempt::open(&gw, &job, &upstream, last.as_deref());
             let failure = match gw.clock.timeout_at(job.deadline, opened).await? {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -44,12 +44,12 @@
     pub(crate) reached: u32,
     pub(crate) sends: u32,
     /// The upstream of the latest attempt.
-    pub(crate) last: Option<Upstream>,
+    pub(crate) last_upstream: Option<Upstream>,
     /// The expected time from the latest attempt to its first byte.
     pub(crate) expected: Millis,
     /// When the first byte and the latest piece arrived, and the longest pause between two pieces.
-    first: Option<Millis>,
-    piece: Millis,
+    first_at: Option<Millis>,
+    piece_at: Millis,
     pub(crate) pause: u64,
 }
 
@@ -69,10 +69,10 @@
             open: true,
             reached: 0,
             sends: 0,
-            last: None,
+            last_upstream: None,
             expected: Millis(0),
-            first: None,
-            piece: Millis(0),
+            first_at: None,
+            piece_at: Millis(0),
             pause: 0,
         };
         let base = job.base();
@@ -92,14 +92,14 @@
 
     pub(crate) fn first_byte(&mut self, attempt: AttemptNumber) {
         let now = self.gw.now();
-        self.first.get_or_insert(now);
-        self.piece = now;
+        self.first_at.get_or_insert(now);
+        self.piece_at = now;
         self.gw.on_first_byte(self.id, attempt);
     }
 
     /// The time from the request's arrival to its first byte.
     pub(crate) fn time_to_first(&self, job: &Job) -> Option<u64> {
-        self.first.map(|f| f.since(job.arrived))
+        self.first_at.map(|f| f.since(job.arrived))
     }
 
     /// The time to the first byte as text for logs.
@@ -110,9 +110,9 @@
 
     pub(crate) fn progress(&mut self, attempt: AttemptNumber) {
         let now = self.gw.now();
-        self.pause = self.pause.max(now.since(self.piece));
-        self.piece = now;
-        if let Some(from) = &self.last {
+        self.pause = self.pause.max(now.since(self.piece_at));
+        self.piece_at = now;
+        if let Some(from) = &self.last_upstream {
             self.gw.on_progress(self.id, attempt, from);
         }
     }
@@ -230,7 +230,7 @@
 /// own and arrives on a connection of its own, at any daemon.
 ///
 /// The address is not part of it, because a caller has another address in each data centre: with
-/// the address included, a request that ends upstreams ended nine of them instead of three.
+/// the address included, a request that crashes upstreams crashed nine of them instead of three.
 pub(crate) fn identity_of(
     caller: Option<CallerAddress>,
     host: &str,
@@ -306,9 +306,9 @@
                 gw.note_served(&job);
                 return reply;
             }
-            Outcome::Unanswered(back) => permit = back,
-            Outcome::Failed(back, reply) => {
-                permit = back;
+            Outcome::Unanswered(returned) => permit = returned,
+            Outcome::Failed(returned, reply) => {
+                permit = returned;
                 fallback = Some(reply);
             }
         }
@@ -325,9 +325,9 @@
 /// Time after its takeover within which a new planner orders what callers have waited for.
 const TAKEOVER: Millis = Millis(700);
 
-/// Callers refused while there is no planner are spread over this fraction of that time, in the
+/// Callers refused while there is no planner are spread over that time divided by this, in the
 /// order of their refusal: if all retried at once, they would take the slots from each other.
-const SPREAD_PART: u64 = 2;
+const SPREAD_DIVISOR: u64 = 2;
 
 /// The upper limit of that spread, however long there was no planner; each planner that died before
 /// adds as much.
@@ -357,8 +357,8 @@
 pub(crate) fn load_retry(gw: &Gateway, takes: Millis) -> Millis {
     match gw.planner_lease.borrow().vacancy(gw.now()) {
         Some(vacancy) => {
-            // Callers arrive in proportion to the number of planners that died in between.
-            let turn = (vacancy.lasted.0 / SPREAD_PART).min(MAX_SPREAD.0) * (1 + vacancy.deaths);
+            // The number of refused callers grows with the number of planners that died in between.
+            let turn = (vacancy.lasted.0 / SPREAD_DIVISOR).min(MAX_SPREAD.0) * (1 + vacancy.deaths);
             let waits = vacancy.left.plus(vacancy.more.0).plus(TAKEOVER.0);
             takes.plus(waits.0).plus(turn)
         }
