--- a/crates/fleet/src/adapters.rs
+++ b/crates/fleet/src/adapters.rs
@@ -1,196 +1,207 @@
-//! Which adapters are loaded where.
+//! Decides which adapters are loaded where.
 
 use crate::draft::Draft;
-use crate::valuation::Board;
+use crate::valuation::Valuation;
 use crate::waits::Wait;
 use crate::{Engine, OrderKind};
 use shaleline_types::{Adapter, Model};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// An adapter that came within this time makes room only where no other can: it has the fewest callers as
-/// yet, and would go again before any of them finds it.
-const STAY_MS: u64 = 1_000;
+/// An adapter loaded within this time is evicted only where no other can be: it has the fewest
+/// callers so far, and would be gone again before they reach it.
+const NEW_ADAPTER_MS: u64 = 1_000;
 
-/// One that was loaded for a wait stays so long even where a caller is about to come back for another: to
-/// load it took two orders.
-const LEAST_KEPT_MS: u64 = 500;
+/// An adapter loaded for a waiting caller stays at least this long, even if a caller of another
+/// adapter is about to retry: loading it took two orders.
+const MIN_RESIDENCY_MS: u64 = 500;
 
-/// An adapter that has been waited for as long may take the place of another though nobody is about to
-/// come back for it: its next caller should find it.
+/// An adapter that has been waited for this long may evict another even if no caller is about to
+/// retry, so that its next caller finds it.
 const OVERDUE_MS: u64 = 5_000;
 
-/// Once more than one in so many of an engine's places is kept for callers who may come and were told no
-/// time, no other wait takes a place there.
-const KEPT_PART: usize = 2;
+/// Waits without a due retry take no more slots of an engine once more than one in this many is
+/// retained for callers without an announced retry time.
+const RETAINED_DIVISOR: usize = 2;
 
-/// An adapter that is asked for.
+/// A requested adapter.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asked<'a> {
+pub(crate) struct AdapterDemand<'a> {
     model: &'a Model,
     adapter: &'a Adapter,
-    /// How long callers have waited for it, where no engine has it.
+    /// How long callers have waited for it, if no engine holds it.
     wait: Option<Wait>,
-    /// Milliseconds of work a second.
+    /// The work that its callers ask for, in milliseconds a second.
     work: f64,
 }
 
-impl Asked<'_> {
-    /// Its turn: what somebody comes back for a moment from now, the longest wait first; then what has
-    /// been waited for; then by work.
-    fn turn(&self) -> (Reverse<Option<(bool, u64)>>, f64) {
+impl AdapterDemand<'_> {
+    /// The order in which adapters are served: those with a retry due, the longest wait first; then
+    /// those with a wait; then by work.
+    fn priority(&self) -> (Reverse<Option<(bool, u64)>>, f64) {
         let wait = self.wait.map(|w| (w.due, w.waited));
         (Reverse(wait), self.work)
     }
 
-    /// Which adapters may make room for it.
-    fn displaces(&self) -> Displaces {
+    /// The adapters that it may evict.
+    fn eviction_scope(&self) -> EvictionScope {
         match self.wait {
-            Some(w) if w.due => Displaces::Kept,
-            Some(w) if w.soon || (w.refused && w.waited >= OVERDUE_MS) => Displaces::Asked,
-            _ => Displaces::Idle,
+            Some(w) if w.due => EvictionScope::Retained,
+            Some(w) if w.soon || (w.refused && w.waited >= OVERDUE_MS) => EvictionScope::Requested,
+            _ => EvictionScope::Idle,
         }
     }
 }
 
-/// Which adapters may make room for another.
+/// The adapters that another may evict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Displaces {
-    /// Only those that nobody asks for.
+enum EvictionScope {
+    /// Only those without requests.
     Idle,
-    /// Also those that are asked for, unless they are kept for callers who may come.
-    Asked,
-    /// All but those for which a caller is about to come back, and those that have just come.
-    Kept,
+    /// Also those with requests, unless they are retained for callers that may retry.
+    Requested,
+    /// All but those with a caller about to retry, and those that were loaded just now.
+    Retained,
 }
 
-/// How many engines have each adapter.
+/// The number of engines that hold each adapter.
 pub(crate) type AdapterCopies<'a> = BTreeMap<(&'a Model, &'a Adapter), usize>;
 
 impl<'a> Draft<'a> {
-    /// Loads adapters that are asked for where their model is, until `copies` engines have each. Those
-    /// that callers wait for go first, the longest wait before all: by work alone one that is asked for
-    /// rarely would come last at every plan.
-    pub(crate) fn adapt(&mut self, board: &Board<'a>, asked: &[Asked<'a>], copies: usize) {
+    /// Loads requested adapters at engines that serve their model, until `copies` engines hold
+    /// each. Adapters that callers wait for go first, the longest wait before the others: by work
+    /// alone a rarely requested adapter would come last in every plan.
+    pub(crate) fn load_adapters(
+        &mut self,
+        valuation: &Valuation<'a>,
+        asked: &[AdapterDemand<'a>],
+        copies: usize,
+    ) {
         for adapter in asked {
-            self.adapt_one(board, adapter, copies);
+            self.load_adapter(valuation, adapter, copies);
         }
     }
 
-    /// The adapters that callers ask for or wait for, in the order of their turns.
-    pub(crate) fn asked_adapters(&self) -> Vec<Asked<'a>> {
+    /// The adapters that callers request or wait for, by priority.
+    pub(crate) fn adapter_demands(&self) -> Vec<AdapterDemand<'a>> {
         let rates = self.snapshot.view.rates;
         let rated = rates.iter().map(|(key, r)| (key, f64::from(r.work)));
         let waits = self
             .waiting
-            .nowhere
+            .unserved
             .keys()
             .filter(|k| !rates.contains_key(k));
         let all = rated.chain(waits.map(|key| (*key, 0.0)));
-        let mut asked: Vec<Asked<'a>> = all
+        let mut asked: Vec<AdapterDemand<'a>> = all
             .filter_map(|(key, work)| {
-                Some(Asked {
+                Some(AdapterDemand {
                     model: &key.0,
                     adapter: key.1.as_ref()?,
-                    wait: self.waiting.nowhere.get(key).copied(),
+                    wait: self.waiting.unserved.get(key).copied(),
                     work,
                 })
             })
             .collect();
         asked.sort_by(|a, b| {
-            let ((a_turn, a_work), (b_turn, b_work)) = (a.turn(), b.turn());
-            a_turn.cmp(&b_turn).then(b_work.total_cmp(&a_work))
+            let ((a_priority, a_work), (b_priority, b_work)) = (a.priority(), b.priority());
+            a_priority.cmp(&b_priority).then(b_work.total_cmp(&a_work))
         });
         asked
     }
 
-    fn adapt_one(&mut self, board: &Board<'a>, asked: &Asked<'a>, copies: usize) {
-        let Asked { model, adapter, .. } = *asked;
+    fn load_adapter(
+        &mut self,
+        valuation: &Valuation<'a>,
+        asked: &AdapterDemand<'a>,
+        copies: usize,
+    ) {
+        let AdapterDemand { model, adapter, .. } = *asked;
         let snapshot = self.snapshot;
-        let Some(number) = snapshot.numbers.get(model) else {
+        let Some(number) = snapshot.model_index.get(model) else {
             return;
         };
-        let serving = &snapshot.served[number];
+        let serving = &snapshot.servers[number];
         let has = |e: &Engine| has_adapter(e, model, adapter);
-        let having = serving.iter().filter(|p| has(snapshot.places[**p].engine));
-        let count = having.count();
+        let holding = serving.iter().filter(|p| has(snapshot.engines[**p].engine));
+        let count = holding.count();
         if count >= copies.min(serving.len()) {
             return;
         }
-        // An order about weights would be refused or refuse this one.
+        // Engines with an order about weights are left out: one of the two orders would be refused.
         let candidates = serving
             .iter()
-            .filter(|p| !has(snapshot.places[**p].engine) && self.is_free(**p));
-        let scored = candidates.filter_map(|place| {
-            let engine = snapshot.places[*place].engine;
-            let taken = engine.worst_adapters();
-            let used = taken.len();
-            let transit = engine.pending.iter().filter(|p| p.order.adapter.is_some());
-            if transit.count() >= self.settings.pending_adapters {
+            .filter(|p| !has(snapshot.engines[**p].engine) && self.is_free(**p));
+        let scored = candidates.filter_map(|index| {
+            let engine = snapshot.engines[*index].engine;
+            let occupied = engine.worst_adapters();
+            let used = occupied.len();
+            let pending = engine.pending.iter().filter(|p| p.order.adapter.is_some());
+            if pending.count() >= self.settings.pending_adapters {
                 return None;
             }
             let victim = if used < snapshot.catalog.adapter_slots {
                 None
             } else {
-                let displaces = match count {
-                    0 => asked.displaces(),
-                    _ => Displaces::Idle,
+                let eviction_scope = match count {
+                    0 => asked.eviction_scope(),
+                    _ => EvictionScope::Idle,
                 };
-                Some(self.least_missed(engine, displaces)?)
+                Some(self.eviction_victim(engine, eviction_scope)?)
             };
-            // Engines that keep fewer places for callers who are about to come back go first.
-            let kept = taken.iter().filter(|a| self.waiting.due.contains(*a));
-            let crowd = (victim.is_some(), kept.count());
-            let load = board.load(*place) + used as f64;
-            Some((crowd, load, *place, victim))
+            // Prefers engines that hold fewer adapters with a retry due.
+            let due = occupied.iter().filter(|a| self.waiting.due.contains(*a));
+            let rank = (victim.is_some(), due.count());
+            let load = valuation.load(*index) + used as f64;
+            Some((rank, load, *index, victim))
         });
         let best = scored.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        let Some((_, _, place, victim)) = best else {
+        let Some((_, _, index, victim)) = best else {
             return;
         };
         match victim {
-            None => self.order(place, OrderKind::Load, model, Some(adapter)),
-            Some((m, a)) => self.order(place, OrderKind::Unload, m, Some(a)),
+            None => self.order(index, OrderKind::Load, model, Some(adapter)),
+            Some((m, a)) => self.order(index, OrderKind::Unload, m, Some(a)),
         }
-        self.taken[place] = true;
+        self.ordered[index] = true;
     }
 
-    /// The adapter on the engine that callers miss least: one that nobody asks for. Where another is
-    /// needed that is nowhere, also one that another engine has as well, or the one asked for least. The
-    /// only one for which a caller is about to come back stays: that caller was told that it would be there.
-    fn least_missed(
+    /// Selects the adapter to evict from the engine: one without requests, or, for an adapter that
+    /// no engine holds, also one that another engine holds as well or the one with the least work.
+    /// The only copy of an adapter with a retry due stays, as its caller was promised it.
+    fn eviction_victim(
         &self,
         engine: &'a Engine,
-        displaces: Displaces,
+        eviction_scope: EvictionScope,
     ) -> Option<(&'a Model, &'a Adapter)> {
-        let kept = engine.certain_adapters();
-        let kept = kept.filter(|place| self.waiting.kept.contains(place));
-        let most = self.snapshot.catalog.adapter_slots / KEPT_PART;
-        if displaces == Displaces::Asked && kept.count() > most {
+        let retained = engine.confirmed_adapters();
+        let retained = retained.filter(|slot| self.waiting.retained.contains(slot));
+        let limit = self.snapshot.catalog.adapter_slots / RETAINED_DIVISOR;
+        if eviction_scope == EvictionScope::Requested && retained.count() > limit {
             return None;
         }
         let rates = self.snapshot.view.rates;
         let now = self.snapshot.now;
-        let missed = engine.certain_adapters().filter_map(|place| {
-            let sole = self.adapter_copies.get(&place).is_none_or(|c| *c < 2);
-            if sole && self.waiting.due.contains(&place) {
+        let missed = engine.confirmed_adapters().filter_map(|slot| {
+            let is_sole = self.adapter_copies.get(&slot).is_none_or(|c| *c < 2);
+            if is_sole && self.waiting.due.contains(&slot) {
                 return None;
             }
-            let key = (place.0.clone(), Some(place.1.clone()));
-            let is_kept = sole && self.waiting.kept.contains(&place);
-            let age = now.since(engine.came(place.0, place.1));
-            let is_new = age < STAY_MS;
-            if is_kept && (age < LEAST_KEPT_MS || displaces != Displaces::Kept) {
+            let key = (slot.0.clone(), Some(slot.1.clone()));
+            let is_retained = is_sole && self.waiting.retained.contains(&slot);
+            let age = now.since(engine.first_seen(slot.0, slot.1));
+            let is_new = age < NEW_ADAPTER_MS;
+            if is_retained && (age < MIN_RESIDENCY_MS || eviction_scope != EvictionScope::Retained)
+            {
                 return None;
             }
             let rate = rates.get(&key).map_or(0.0, |r| r.work);
-            Some(([is_kept, is_new, rate > 0.0, sole], rate, place))
+            Some(([is_retained, is_new, rate > 0.0, is_sole], rate, slot))
         });
         let order = |a: &([bool; 4], f32, _), b: &([bool; 4], f32, _)| {
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
         };
         let ([_, is_new, ..], work, least) = missed.min_by(order)?;
-        (displaces != Displaces::Idle || (work == 0.0 && !is_new)).then_some(least)
+        (eviction_scope != EvictionScope::Idle || (work == 0.0 && !is_new)).then_some(least)
     }
 }
 
@@ -199,7 +210,7 @@
         || engine.is_pending(OrderKind::Load, model, Some(adapter))
 }
 
-/// Counts the engines that have each adapter.
+/// Counts the engines that hold each adapter.
 pub(crate) fn count_copies<'a>(engines: impl Iterator<Item = &'a Engine>) -> AdapterCopies<'a> {
     let mut copies = AdapterCopies::new();
     for (model, adapters) in engines.flat_map(Engine::serving) {
--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -9,11 +9,11 @@
 pub struct ModelProfile {
     /// The memory that its weights take.
     pub weights_size: Megabytes,
-    /// The time of a load from the weight store.
+    /// The duration of a load from the weight store.
     pub store_time: Millis,
-    /// The time of a load from a copy on the engine's disk.
+    /// The duration of a load from a copy on the engine's disk.
     pub disk_time: Millis,
-    /// The time of a load from a copy in the engine's main memory.
+    /// The duration of a load from a copy in the engine's main memory.
     pub warm_time: Millis,
     /// Its adapters.
     pub adapters: Vec<Adapter>,
@@ -21,21 +21,21 @@
     pub adapter_size: Megabytes,
 }
 
-/// The models of a service and the room on one of its engines.
+/// The models of a service and the capacity of one of its engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
     /// The models.
     pub models: BTreeMap<Model, ModelProfile>,
     /// The memory of an engine for weights and adapters.
     pub memory: Megabytes,
-    /// The adapters that an engine may hold.
+    /// The number of adapters that an engine may hold.
     pub adapter_slots: usize,
     /// The loads a second that the weight store allows over all engines.
     pub load_rate: f64,
-    /// The requests that an engine runs at once.
+    /// The number of requests that an engine runs at once.
     pub request_slots: usize,
     /// The main memory of an engine for copies of weights.
     pub warm_memory: Megabytes,
-    /// The disk of an engine for copies of weights.
+    /// The disk space of an engine for copies of weights.
     pub disk_space: Megabytes,
 }
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -1,39 +1,40 @@
-//! How work spreads over the replicas of models, and what that does to callers.
+//! Models how work spreads over the replicas of models, and how many requests are lost by it.
 //!
-//! Routing sends each request to the replica that is least busy, so the work of a model
-//! fills the engines that hold it like water: the least loaded first, until all are level.
-//! What is lost on an engine grows steeply with its load, which is why one engine at its
-//! limit beside idle ones is the worst that a placement can do. Engines and models are
-//! numbers here, as one plan compares thousands of changes.
+//! Routing sends each request to the least busy replica, so the work of a model is distributed by
+//! water-filling: to the least loaded of its engines first, until all have the same load. The
+//! requests lost on an engine grow steeply with its load, so one engine at its limit beside idle
+//! ones is the worst placement. Engines and models are numbers here, as one plan compares thousands
+//! of changes.
 
 use crate::Rate;
 
 /// The work that an engine does in a second, in milliseconds.
 pub(crate) const CAPACITY: f64 = 1_000.0;
 
-/// The share of requests that are late or refused at an engine at its limit. With 0.4, 624 of
-/// 1,000 chats on crowded days are in time, with 0.6 616, by 30 days played.
-const AT_LIMIT: f64 = 0.4;
+/// The share of requests that are late or refused at an engine at its limit. With 0.4, 624 of 1,000
+/// chats on overloaded days are in time, with 0.6 616, over 30 simulated days.
+const LOST_AT_LIMIT: f64 = 0.4;
 
-/// A model that nobody asks for counts as this much work, so that it has a place.
-const LEAST_WORK: f64 = 0.1;
+/// A model without requests counts as this much work, so that it is placed at all.
+const MIN_WORK: f64 = 0.1;
 
-/// Rounds in which models make way for each other; further rounds hardly change levels.
+/// Rounds in which the work of each model is distributed again given that of the others; further
+/// rounds hardly change the loads.
 const ROUNDS: usize = 3;
 
-/// The share of requests that are late or refused on an engine with this load. It is taken
-/// to rise with the square of the load; beyond its limit an engine still serves as many as
-/// at the limit, so a model on a full engine is better off than one that is nowhere.
+/// The share of requests that are late or refused on an engine with this load. It grows with the
+/// square of the load. Beyond its limit an engine still serves as many requests as at the limit, so
+/// a model on a full engine is better off than one without a replica.
 pub(crate) fn lost_share(load: f64) -> f64 {
     let used = (load / CAPACITY).max(0.0);
     if used <= 1.0 {
-        AT_LIMIT * used * used
+        LOST_AT_LIMIT * used * used
     } else {
-        1.0 - (1.0 - AT_LIMIT) / used
+        1.0 - (1.0 - LOST_AT_LIMIT) / used
     }
 }
 
-/// What an engine has to do.
+/// The load of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Load {
     work: f64,
@@ -43,20 +44,20 @@
 
 impl Load {
     /// The requests that are late or refused there each second.
-    fn harm(self) -> f64 {
+    fn lost_rate(self) -> f64 {
         lost_share(self.work) * self.count.max(0.0)
     }
 }
 
-/// The level up to which `work` fills engines that have this to do besides. `sorted` is room
-/// to work in.
-fn level(besides: impl Iterator<Item = f64>, work: f64, sorted: &mut Vec<f64>) -> f64 {
-    sorted.clear();
-    sorted.extend(besides);
-    sorted.sort_unstable_by(f64::total_cmp);
+/// The level to which `work` fills engines that already have `other_work`. `scratch` is a reused
+/// buffer.
+fn level(other_work: impl Iterator<Item = f64>, work: f64, scratch: &mut Vec<f64>) -> f64 {
+    scratch.clear();
+    scratch.extend(other_work);
+    scratch.sort_unstable_by(f64::total_cmp);
     let mut below = work;
     let mut level = f64::INFINITY;
-    for (count, own) in sorted.iter().enumerate() {
+    for (count, own) in scratch.iter().enumerate() {
         if level <= *own {
             break;
         }
@@ -66,24 +67,24 @@
     level
 }
 
-/// What a change of one model's engines does.
+/// The effect of a change of the replicas of one model.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct Swap {
-    /// By how much the harm falls through the replica that is added.
+pub(crate) struct LossChange {
+    /// The decrease of the lost requests a second by the added replica.
     pub(crate) gain: f64,
-    /// By how much it rises through the one that makes room.
+    /// The increase of the lost requests a second by the evicted replica.
     pub(crate) loss: f64,
 }
 
 /// A replica of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Part {
+struct ReplicaLoad {
     engine: usize,
     work: f64,
     count: f64,
 }
 
-impl Part {
+impl ReplicaLoad {
     fn at(engine: usize) -> Self {
         Self {
             engine,
@@ -93,53 +94,56 @@
     }
 }
 
-/// What is put back after a change was weighed.
+/// The state that is restored after a change was evaluated.
 #[derive(Debug, Clone, Default)]
-struct Saved {
-    model: Vec<Part>,
-    victim: Vec<Part>,
+struct SavedState {
+    model: Vec<ReplicaLoad>,
+    victim: Vec<ReplicaLoad>,
     loads: Vec<(usize, Load)>,
 }
 
-/// The work on each engine, by the model that brings it.
+/// The work on each engine, by model.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Flow {
+pub(crate) struct Distribution {
     loads: Vec<Load>,
-    parts: Vec<Vec<Part>>,
-    asked: Vec<Rate>,
-    /// What is lost while a model is nowhere.
-    missing: Vec<f64>,
-    sorted: Vec<f64>,
-    saved: Saved,
+    replicas: Vec<Vec<ReplicaLoad>>,
+    rates: Vec<Rate>,
+    /// The requests a second that are lost while a model has no replica.
+    absent_loss: Vec<f64>,
+    scratch: Vec<f64>,
+    saved: SavedState,
 }
 
-impl Flow {
-    /// Spreads the work of models over `held`, the engines that hold each. `missing` says
-    /// what is lost, in requests a second, while a model is nowhere.
+impl Distribution {
+    /// Distributes the work of models over `held`, the engines that hold each. `absent_loss` is the
+    /// requests a second that are lost while a model has no replica.
     pub(crate) fn new(
         engines: usize,
         held: &[Vec<usize>],
-        asked: &[Rate],
-        missing: &[f64],
+        rates: &[Rate],
+        absent_loss: &[f64],
     ) -> Self {
-        let part = |e: &usize| Part::at(*e);
+        let replica = |e: &usize| ReplicaLoad::at(*e);
         let mut flow = Self {
             loads: vec![Load::default(); engines],
-            parts: held.iter().map(|h| h.iter().map(part).collect()).collect(),
-            asked: asked.to_vec(),
-            missing: missing.to_vec(),
+            replicas: held
+                .iter()
+                .map(|h| h.iter().map(replica).collect())
+                .collect(),
+            rates: rates.to_vec(),
+            absent_loss: absent_loss.to_vec(),
             ..Self::default()
         };
         for _ in 0..ROUNDS {
-            for model in 0..flow.parts.len() {
-                flow.take(model);
-                flow.give(model);
+            for model in 0..flow.replicas.len() {
+                flow.clear_work(model);
+                flow.distribute(model);
             }
         }
         flow
     }
 
-    /// What an engine has to do.
+    /// The work on an engine.
     pub(crate) fn load(&self, engine: usize) -> f64 {
         self.loads[engine].work
     }
@@ -149,139 +153,149 @@
         self.loads[engine].count
     }
 
-    /// What a model brings to an engine.
+    /// The work of a model on an engine.
     pub(crate) fn share(&self, model: usize, engine: usize) -> f64 {
-        let here = self.parts[model].iter().find(|p| p.engine == engine);
+        let here = self.replicas[model].iter().find(|p| p.engine == engine);
         here.map_or(0.0, |p| p.work)
     }
 
     /// Whether the engine holds the model.
     pub(crate) fn holds(&self, engine: usize, model: usize) -> bool {
-        self.parts[model].iter().any(|p| p.engine == engine)
+        self.replicas[model].iter().any(|p| p.engine == engine)
     }
 
     /// The engines that hold the model.
     pub(crate) fn engines_of(&self, model: usize) -> impl Iterator<Item = usize> + '_ {
-        self.parts[model].iter().map(|p| p.engine)
+        self.replicas[model].iter().map(|p| p.engine)
     }
 
-    /// How many engines hold the model.
+    /// The number of engines that hold the model.
     pub(crate) fn replicas(&self, model: usize) -> usize {
-        self.parts[model].len()
+        self.replicas[model].len()
     }
 
     /// Whether no engine holds the model.
     pub(crate) fn is_missing(&self, model: usize) -> bool {
-        self.parts[model].is_empty()
+        self.replicas[model].is_empty()
     }
 
-    /// What is lost, in requests a second, while the model is nowhere.
-    pub(crate) fn missing(&self, model: usize) -> f64 {
-        self.missing[model]
+    /// The requests a second that are lost while the model has no replica.
+    pub(crate) fn absent_loss(&self, model: usize) -> f64 {
+        self.absent_loss[model]
     }
 
-    /// The part of the harm that this model's work has, itself or its engines being short.
-    pub(crate) fn harm_of(&self, model: usize) -> f64 {
-        if self.parts[model].is_empty() {
-            return self.missing[model];
+    /// The requests a second of this model that are lost, on its engines or for lack of a replica.
+    pub(crate) fn lost_rate_of(&self, model: usize) -> f64 {
+        if self.replicas[model].is_empty() {
+            return self.absent_loss[model];
         }
-        let part = |p: &Part| lost_share(self.loads[p.engine].work) * p.count;
-        self.parts[model].iter().map(part).sum()
+        let replica = |p: &ReplicaLoad| lost_share(self.loads[p.engine].work) * p.count;
+        self.replicas[model].iter().map(replica).sum()
     }
 
-    /// All the harm on the engines that hold the model: more than that no move of it mends.
-    pub(crate) fn harm_around(&self, model: usize) -> f64 {
-        let parts = self.parts[model].iter();
-        let harm: f64 = parts.map(|p| self.loads[p.engine].harm()).sum();
-        harm + if self.is_missing(model) {
-            self.missing[model]
-        } else {
-            0.0
-        }
+    /// All requests a second that are lost on the engines that hold the model: an upper limit of
+    /// what a move of it can save.
+    pub(crate) fn lost_rate_around(&self, model: usize) -> f64 {
+        let replicas = self.replicas[model].iter();
+        let lost_rate: f64 = replicas.map(|p| self.loads[p.engine].lost_rate()).sum();
+        lost_rate
+            + if self.is_missing(model) {
+                self.absent_loss[model]
+            } else {
+                0.0
+            }
     }
 
-    /// Takes a model's work off its engines.
-    fn take(&mut self, model: usize) {
-        for part in &self.parts[model] {
-            let load = &mut self.loads[part.engine];
-            load.work -= part.work;
-            load.count -= part.count;
+    /// Removes the work of a model from its engines.
+    fn clear_work(&mut self, model: usize) {
+        for replica in &self.replicas[model] {
+            let load = &mut self.loads[replica.engine];
+            load.work -= replica.work;
+            load.count -= replica.count;
         }
     }
 
-    /// Spreads a model's work, which is on no engine, over those that hold it.
-    fn give(&mut self, model: usize) {
+    /// Distributes the work of a model, which must be on no engine, over its replicas.
+    fn distribute(&mut self, model: usize) {
         let loads = &mut self.loads;
-        let parts = &mut self.parts[model];
-        let besides = parts.iter().map(|p| loads[p.engine].work);
-        let work = f64::from(self.asked[model].work).max(LEAST_WORK);
-        let level = level(besides, work, &mut self.sorted);
-        let each = f64::from(self.asked[model].count) / work;
-        for part in parts {
-            let load = &mut loads[part.engine];
-            part.work = (level - load.work).max(0.0);
-            part.count = part.work * each;
-            load.work += part.work;
-            load.count += part.count;
+        let replicas = &mut self.replicas[model];
+        let other_work = replicas.iter().map(|p| loads[p.engine].work);
+        let work = f64::from(self.rates[model].work).max(MIN_WORK);
+        let level = level(other_work, work, &mut self.scratch);
+        let rate_per_work = f64::from(self.rates[model].count) / work;
+        for replica in replicas {
+            let load = &mut loads[replica.engine];
+            replica.work = (level - load.work).max(0.0);
+            replica.count = replica.work * rate_per_work;
+            load.work += replica.work;
+            load.count += replica.count;
         }
     }
 
-    /// The harm on the engines of a model and on `engine`, and of the model if it is nowhere.
-    fn harm_at(&self, model: usize, engine: usize) -> f64 {
-        let parts = &self.parts[model];
-        let known = parts.iter().any(|p| p.engine == engine);
-        let extra = (!known).then(|| self.loads[engine].harm());
-        let lost = parts.is_empty().then(|| self.missing[model]);
-        let parts = parts.iter().map(|p| self.loads[p.engine].harm());
-        parts.sum::<f64>() + extra.unwrap_or(0.0) + lost.unwrap_or(0.0)
+    /// The requests a second that are lost on the engines of a model and on `engine`, and those of
+    /// the model itself if it has no replica.
+    fn lost_rate_at(&self, model: usize, engine: usize) -> f64 {
+        let replicas = &self.replicas[model];
+        let known = replicas.iter().any(|p| p.engine == engine);
+        let extra = (!known).then(|| self.loads[engine].lost_rate());
+        let lost = replicas.is_empty().then(|| self.absent_loss[model]);
+        let replicas = replicas.iter().map(|p| self.loads[p.engine].lost_rate());
+        replicas.sum::<f64>() + extra.unwrap_or(0.0) + lost.unwrap_or(0.0)
     }
 
-    /// Gives a model one more engine; returns by how much the harm falls.
+    /// Adds a replica of a model; returns the decrease of the lost requests a second.
     pub(crate) fn add(&mut self, model: usize, engine: usize) -> f64 {
-        let before = self.harm_at(model, engine);
-        self.take(model);
-        self.parts[model].push(Part::at(engine));
-        self.give(model);
-        before - self.harm_at(model, engine)
+        let before = self.lost_rate_at(model, engine);
+        self.clear_work(model);
+        self.replicas[model].push(ReplicaLoad::at(engine));
+        self.distribute(model);
+        before - self.lost_rate_at(model, engine)
     }
 
-    /// Takes a model off an engine; returns by how much the harm rises.
+    /// Removes a replica of a model; returns the increase of the lost requests a second.
     pub(crate) fn remove(&mut self, model: usize, engine: usize) -> f64 {
-        let before = self.harm_at(model, engine);
-        self.take(model);
-        self.parts[model].retain(|p| p.engine != engine);
-        self.give(model);
-        self.harm_at(model, engine) - before
+        let before = self.lost_rate_at(model, engine);
+        self.clear_work(model);
+        self.replicas[model].retain(|p| p.engine != engine);
+        self.distribute(model);
+        self.lost_rate_at(model, engine) - before
     }
 
-    /// What it would do to load `model` at `engine`, in place of `victim` where given.
-    pub(crate) fn weigh(&mut self, model: usize, engine: usize, victim: Option<usize>) -> Swap {
+    /// Evaluates loading `model` at `engine`, in place of `victim` if given, and restores the
+    /// state.
+    pub(crate) fn evaluate(
+        &mut self,
+        model: usize,
+        engine: usize,
+        victim: Option<usize>,
+    ) -> LossChange {
         self.save(model, engine, victim);
         let loss = victim.map_or(0.0, |v| self.remove(v, engine));
         let gain = self.add(model, engine);
         self.restore(model, victim);
-        Swap { gain, loss }
+        LossChange { gain, loss }
     }
 
-    /// Keeps what a change touches, without an allocation once there was a change as large.
+    /// Saves the state that a change modifies. The buffers are reused, so that nothing is allocated
+    /// once they are large enough.
     fn save(&mut self, model: usize, engine: usize, victim: Option<usize>) {
         let saved = &mut self.saved;
-        saved.model.clone_from(&self.parts[model]);
+        saved.model.clone_from(&self.replicas[model]);
         saved.victim.clear();
         if let Some(victim) = victim {
-            saved.victim.clone_from(&self.parts[victim]);
+            saved.victim.clone_from(&self.replicas[victim]);
         }
         saved.loads.clear();
-        let parts = saved.model.iter().chain(&saved.victim);
-        let engines = parts.map(|p| p.engine).chain([engine]);
+        let replicas = saved.model.iter().chain(&saved.victim);
+        let engines = replicas.map(|p| p.engine).chain([engine]);
         saved.loads.extend(engines.map(|e| (e, self.loads[e])));
     }
 
     fn restore(&mut self, model: usize, victim: Option<usize>) {
         let saved = &self.saved;
-        self.parts[model].clone_from(&saved.model);
+        self.replicas[model].clone_from(&saved.model);
         if let Some(victim) = victim {
-            self.parts[victim].clone_from(&saved.victim);
+            self.replicas[victim].clone_from(&saved.victim);
         }
         for (engine, load) in &saved.loads {
             self.loads[*engine] = *load;
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -1,4 +1,4 @@
-//! What is believed of one engine.
+//! The known state of one engine.
 
 use crate::changes::Changes;
 use crate::{Catalog, ModelProfile, Order, OrderKind};
@@ -8,22 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What an engine says that it holds.
+/// What an engine reports that it holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The models, each with its adapters.
     pub models: BTreeMap<Model, BTreeSet<Adapter>>,
-    /// Adapters that are on their way.
+    /// Adapters that are being loaded.
     pub loading_adapters: BTreeSet<(Model, Adapter)>,
-    /// The models of which a copy is in its main memory.
+    /// The models with a copy in its main memory.
     pub warm: BTreeSet<Model>,
-    /// The models of which a copy is on its disk.
+    /// The models with a copy on its disk.
     pub disk: BTreeSet<Model>,
-    /// How many orders it has accepted; a start begins at 0.
+    /// The number of orders it has accepted since its start.
     pub seq: u64,
-    /// Whether an order is under way, where it says so.
+    /// Whether an order is in progress, if the engine reports it.
     pub busy: bool,
-    /// Which start of the engine says so.
+    /// The incarnation of the engine that reports this.
     pub incarnation: Incarnation,
 }
 
@@ -35,18 +35,18 @@
     }
 }
 
-/// Where a sighting of an engine comes from.
+/// The source of what is known of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeldSource {
     /// Its entry in the platform's list, which may be older than what is known.
     Listed,
-    /// Its own report, or what the planner told.
+    /// Its own report, or a message of the planner.
     Reported,
 }
 
-/// An order that is not known to be carried out.
+/// An order that is not known to be done.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Pending {
+pub(crate) struct PendingOrder {
     pub(crate) order: Order,
     pub(crate) sent: Millis,
     /// Whether the engine has accepted it.
@@ -56,54 +56,54 @@
 /// One engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Where it stands.
+    /// The data centre of the engine.
     pub centre: DataCentre,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// When it could not be reached last.
+    /// The time of the last refused connection.
     pub(crate) unreachable: Option<Millis>,
-    /// Whether it is taken to be down for now.
+    /// Whether it currently counts as down.
     pub(crate) down: bool,
     pub(crate) held: Held,
-    pub(crate) pending: Vec<Pending>,
-    /// Orders in doubt that were meant for an earlier incarnation. One that is late may still
-    /// be carried out, where this one has accepted as many orders as it expects.
-    strays: Vec<Pending>,
-    /// Models that nobody should be sent to any more.
+    pub(crate) pending: Vec<PendingOrder>,
+    /// Pending orders for an earlier incarnation. A late one may still be carried out, if this
+    /// incarnation has accepted as many orders as it expects.
+    stale_orders: Vec<PendingOrder>,
+    /// Models to which no more requests are sent, and since when.
     pub(crate) retiring: BTreeMap<Model, Millis>,
     pub(crate) last_order: Millis,
     /// The models that it held when it was first seen.
-    pub(crate) first: BTreeSet<Model>,
-    reported: Millis,
-    /// What came and went there lately.
+    pub(crate) initial_models: BTreeSet<Model>,
+    last_report: Millis,
+    /// Recent changes of what it holds.
     changes: Changes,
-    /// What it holds for certain, as of the number of orders it had accepted.
-    proof: Option<Held>,
-    /// Differs from every revision before, of this engine and of all others, wherever
-    /// something about the engine has changed.
+    /// Its confirmed content, as of the number of orders it had accepted.
+    confirmed: Option<Held>,
+    /// A number that is unique among all revisions of all engines, and renewed with each change of
+    /// this engine's state.
     pub(crate) revision: u64,
 }
 
-/// A number that no revision had before.
+/// Returns a number that no earlier revision had.
 fn next_revision() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// An entry may be so much older than a report: engines write theirs about every 1.2 s,
-/// and it is read within another.
+/// The maximum age of a list entry relative to a report: engines write their entry about every 1.2
+/// s, and it is read within another 1.2 s.
 pub(crate) const LIST_LAG_MS: u64 = 2_500;
 
-/// A model that is said to be dropped soon gets nothing new for so long: by then the
-/// engine's entry tells whether it was.
-const RETIRE_MS: u64 = 3_000;
+/// A model that is announced to be unloaded gets no new requests for this time; by then the
+/// engine's entry shows whether it was unloaded.
+const RETIRING_MS: u64 = 3_000;
 
-/// An engine that refused a connection counts as down for so long: it crashed, and its
-/// entry lapses seconds later.
+/// An engine that refused a connection counts as down for this time: it has crashed, and its entry
+/// lapses seconds later.
 const DOWN_MS: u64 = 1_500;
 
-/// Orders in doubt are forgotten after so long: a late one is carried out within 12 s.
-const DOUBT_MS: u64 = 15_000;
+/// Unconfirmed orders are forgotten after this time: a late one is carried out within 12 s.
+const PENDING_TTL_MS: u64 = 15_000;
 
 impl Engine {
     pub(crate) fn new(centre: DataCentre, held: Held) -> Self {
@@ -112,26 +112,26 @@
             leaving: false,
             unreachable: None,
             down: false,
-            // Its first entry tells what it started with. Where another planner ordered
-            // since, the number of orders does not fit and the engine refuses.
-            proof: Some(Held {
+            // Its first entry shows what it started with. If another planner has sent orders since,
+            // the number of orders differs and the engine refuses.
+            confirmed: Some(Held {
                 seq: 0,
                 ..held.clone()
             }),
-            first: held.models.keys().cloned().collect(),
+            initial_models: held.models.keys().cloned().collect(),
             changes: Changes::from_first(&held),
             held,
             pending: Vec::new(),
-            strays: Vec::new(),
+            stale_orders: Vec::new(),
             retiring: BTreeMap::new(),
             last_order: Millis(0),
-            reported: Millis(0),
+            last_report: Millis(0),
             revision: next_revision(),
         }
     }
 
-    /// Notes that something about it changes.
-    pub(crate) fn touch(&mut self) {
+    /// Marks the state of the engine as changed.
+    pub(crate) fn bump_revision(&mut self) {
         self.revision = next_revision();
     }
 
@@ -147,10 +147,10 @@
         self.held.models.contains_key(model) && !self.retiring.contains_key(model)
     }
 
-    /// Whether it has copies of models that it did not hold at first.
-    pub(crate) fn has_more_copies(&self) -> bool {
+    /// Whether it has copies of models that it did not hold when it was first seen.
+    pub(crate) fn has_extra_copies(&self) -> bool {
         let mut copies = self.held.warm.iter().chain(&self.held.disk);
-        copies.any(|m| !self.first.contains(m))
+        copies.any(|m| !self.initial_models.contains(m))
     }
 
     /// Whether requests for the adapter may be sent there.
@@ -160,13 +160,13 @@
         self.serves(model) && held.is_some_and(|a| a.contains(adapter))
     }
 
-    /// The models to send requests for, each with its adapters.
+    /// The models for which requests may be sent there, each with its adapters.
     pub fn serving(&self) -> impl Iterator<Item = (&Model, &BTreeSet<Adapter>)> {
         let models = self.held.models.iter();
         models.filter(|(m, _)| !self.retiring.contains_key(*m))
     }
 
-    /// Whether it holds the model or is getting it.
+    /// Whether it serves the model or is loading it.
     pub(crate) fn will_serve(&self, model: &Model) -> bool {
         self.serves(model) || self.is_pending(OrderKind::Load, model, None)
     }
@@ -182,19 +182,19 @@
         })
     }
 
-    /// Whether an order is not known to be carried out.
+    /// Whether the order is pending.
     #[must_use]
     pub fn has_pending(&self, order: &Order) -> bool {
         self.pending.iter().any(|p| p.order == *order)
     }
 
-    /// Whether an order about weights is open.
-    pub(crate) fn is_moving(&self) -> bool {
+    /// Whether an order about weights is in progress.
+    pub(crate) fn has_weight_order(&self) -> bool {
         self.held.busy || self.pending.iter().any(|p| p.order.adapter.is_none())
     }
 
-    /// Whether an order to drop a model is open.
-    pub(crate) fn is_dropping(&self) -> bool {
+    /// Whether an order to unload a model is pending.
+    pub(crate) fn is_unloading(&self) -> bool {
         let drops = |o: &Order| o.kind == OrderKind::Unload && o.adapter.is_none();
         self.pending.iter().any(|p| drops(&p.order))
     }
@@ -204,18 +204,21 @@
         let loads = self
             .open_orders()
             .filter_map(|o| (o.kind == OrderKind::Load && o.adapter.is_none()).then_some(&o.model));
-        let proof = self.proof.iter().flat_map(|p| p.models.keys());
-        proof.chain(loads).collect()
+        let confirmed = self.confirmed.iter().flat_map(|p| p.models.keys());
+        confirmed.chain(loads).collect()
     }
 
     /// Every order that is not known to be void.
     fn open_orders(&self) -> impl Iterator<Item = &Order> {
-        self.pending.iter().chain(&self.strays).map(|p| &p.order)
+        self.pending
+            .iter()
+            .chain(&self.stale_orders)
+            .map(|p| &p.order)
     }
 
-    /// Every adapter that may take a place, in the worst case.
+    /// Every adapter that may take a slot, in the worst case.
     pub(crate) fn worst_adapters(&self) -> BTreeSet<(&Model, &Adapter)> {
-        let proof = self.proof.iter().flat_map(|p| {
+        let confirmed = self.confirmed.iter().flat_map(|p| {
             p.adapters()
                 .chain(p.loading_adapters.iter().map(|(m, a)| (m, a)))
         });
@@ -223,15 +226,15 @@
             let adapter = o.adapter.as_ref()?;
             (o.kind == OrderKind::Load).then_some((&o.model, adapter))
         });
-        proof.chain(loads).collect()
+        confirmed.chain(loads).collect()
     }
 
-    /// The adapters that it holds for certain.
-    pub(crate) fn certain_adapters(&self) -> impl Iterator<Item = (&Model, &Adapter)> {
-        self.proof.iter().flat_map(Held::adapters)
+    /// The adapters that it is confirmed to hold.
+    pub(crate) fn confirmed_adapters(&self) -> impl Iterator<Item = (&Model, &Adapter)> {
+        self.confirmed.iter().flat_map(Held::adapters)
     }
 
-    /// The memory that may be taken, in the worst case.
+    /// The memory that may be in use, in the worst case.
     pub(crate) fn worst_memory(&self, catalog: &Catalog) -> Megabytes {
         let rule = |m: &Model| catalog.models.get(m);
         let models = self.worst_models().into_iter();
@@ -244,19 +247,19 @@
         Megabytes(weights + adapters)
     }
 
-    /// Takes in that it has started again: nothing of before holds, but for orders in doubt
-    /// that may still be carried out.
+    /// Resets the state after a restart. Only unaccepted orders are kept, as they may still be
+    /// carried out.
     fn restart(&mut self, held: Held) {
-        let mut strays = std::mem::take(&mut self.strays);
+        let mut stale_orders = std::mem::take(&mut self.stale_orders);
         let pending = std::mem::take(&mut self.pending);
-        strays.extend(pending.into_iter().filter(|p| !p.accepted));
+        stale_orders.extend(pending.into_iter().filter(|p| !p.accepted));
         *self = Self {
-            strays,
+            stale_orders,
             ..Self::new(self.centre.clone(), held)
         };
     }
 
-    /// Takes in what was seen. What is older than what is known is passed over.
+    /// Updates what it holds. Information that is older than what is known is ignored.
     pub(crate) fn observe(&mut self, held: Held, from: HeldSource, now: Millis) {
         match held.incarnation.against(self.held.incarnation) {
             cmp::Ordering::Less => return,
@@ -267,16 +270,16 @@
         match from {
             HeldSource::Reported if next.seq < self.held.seq => return,
             HeldSource::Reported => {
-                self.reported = now;
+                self.last_report = now;
                 self.changes.on_report(&self.held, &next, now);
-                self.proof = (!next.busy).then(|| next.clone());
+                self.confirmed = (!next.busy).then(|| next.clone());
             }
             HeldSource::Listed => {
-                if now.since(self.reported.max(self.last_order)) < LIST_LAG_MS {
+                if now.since(self.last_report.max(self.last_order)) < LIST_LAG_MS {
                     self.keep_known(&mut next);
                 }
-                self.changes.leave_out_gone(&mut next, now);
-                // An entry tells neither whether an order is under way nor how many were
+                self.changes.omit_removed(&mut next, now);
+                // An entry shows neither whether an order is in progress nor how many were
                 // accepted.
                 next.busy = false;
                 next.seq = self.held.seq;
@@ -288,21 +291,21 @@
         self.settle(now);
     }
 
-    /// Notes that an adapter is no longer there, or won't be in a moment.
+    /// Records that an adapter has been unloaded, or will be in a moment.
     pub(crate) fn remove_adapter(&mut self, model: &Model, adapter: &Adapter, now: Millis) {
         if let Some(adapters) = self.held.models.get_mut(model) {
             adapters.remove(adapter);
         }
-        self.changes.note_gone(model, Some(adapter), now);
+        self.changes.record_removed(model, Some(adapter), now);
     }
 
-    /// When an adapter that it holds was first seen there.
-    pub(crate) fn came(&self, model: &Model, adapter: &Adapter) -> Millis {
-        self.changes.came(model, adapter)
+    /// The time at which an adapter that it holds was first seen there.
+    pub(crate) fn first_seen(&self, model: &Model, adapter: &Adapter) -> Millis {
+        self.changes.first_seen(model, adapter)
     }
 
-    /// What was loaded stays until an order drops it: an entry that lacks it is older than
-    /// the report that showed it.
+    /// Adds to an entry what is known to be loaded. It stays until an order unloads it: an entry
+    /// without it is older than the report that showed it.
     fn keep_known(&self, next: &mut Held) {
         for (model, adapters) in &self.held.models {
             let unloading = self.retiring.contains_key(model);
@@ -315,21 +318,22 @@
         }
     }
 
-    /// Drops the orders that are known to be carried out or void. Returns whether any was.
+    /// Drops the orders that are known to be done or void, or have expired. Returns whether any was
+    /// dropped.
     pub(crate) fn settle(&mut self, now: Millis) -> bool {
         let held = &self.held;
         let before = self.open_count();
-        self.strays
-            .retain(|p| p.order.expect >= held.seq && now.since(p.sent) < DOUBT_MS);
-        let is_open = |p: &Pending| {
+        self.stale_orders
+            .retain(|p| p.order.expect >= held.seq && now.since(p.sent) < PENDING_TTL_MS);
+        let is_open = |p: &PendingOrder| {
             let order = &p.order;
             let adapters = held.models.get(&order.model);
-            let there = match &order.adapter {
+            let is_held = match &order.adapter {
                 Some(adapter) => adapters.is_some_and(|a| a.contains(adapter)),
                 None => adapters.is_some(),
             };
             let wanted = order.kind == OrderKind::Load;
-            there != wanted && now.since(p.sent) < DOUBT_MS
+            is_held != wanted && now.since(p.sent) < PENDING_TTL_MS
         };
         self.pending.retain(is_open);
         let pending = &self.pending;
@@ -341,18 +345,18 @@
             })
         };
         self.retiring.retain(|m, at| {
-            held.models.contains_key(m) && (unloading(m) || now.since(*at) < RETIRE_MS)
+            held.models.contains_key(m) && (unloading(m) || now.since(*at) < RETIRING_MS)
         });
         before != self.open_count()
     }
 
-    /// How much of what was ordered or told is open.
+    /// The number of pending orders, stale orders and retiring models.
     fn open_count(&self) -> usize {
-        self.pending.len() + self.strays.len() + self.retiring.len()
+        self.pending.len() + self.stale_orders.len() + self.retiring.len()
     }
 
-    /// Notes that an order leaves. It counts at its worst from now on.
-    pub(crate) fn note_sent(&mut self, order: &Order, now: Millis) {
+    /// Records that an order is sent. It counts at its worst case from now on.
+    pub(crate) fn record_sent(&mut self, order: &Order, now: Millis) {
         if order.kind == OrderKind::Unload && order.adapter.is_none() {
             self.retiring.insert(order.model.clone(), now);
         }
@@ -360,65 +364,65 @@
             self.remove_adapter(&order.model, adapter, now);
         }
         self.last_order = now;
-        self.pending.push(Pending {
+        self.pending.push(PendingOrder {
             order: order.clone(),
             sent: now,
             accepted: false,
         });
     }
 
-    /// Whether what it holds is known for certain as of the orders it has accepted.
+    /// Whether what it holds is confirmed as of the orders it has accepted.
     ///
-    /// An engine changes only by an order it accepts. So a report that shows no order
-    /// under way stays true until the engine has accepted another, and an order that
-    /// expects the reported number is refused where that has happened. Entries lag and
-    /// prove nothing: memory is promised by reports alone.
-    pub(crate) fn is_proven(&self) -> bool {
-        let proof = self.proof.as_ref();
-        proof.is_some_and(|p| p.seq == self.held.seq) && !self.held.busy
+    /// An engine changes only by an order that it accepts. So a report without an order in progress
+    /// stays true until the engine accepts another, and an order that expects the reported number
+    /// is refused if that has happened. List entries lag and confirm nothing: memory is allocated
+    /// only by reports.
+    pub(crate) fn is_confirmed(&self) -> bool {
+        let confirmed = self.confirmed.as_ref();
+        confirmed.is_some_and(|p| p.seq == self.held.seq) && !self.held.busy
     }
 
-    /// Notes that an order was accepted. `done` says that it was carried out at once.
-    pub(crate) fn note_accepted(&mut self, order: &Order, done: bool) {
+    /// Records that an order was accepted. `done` means that it was carried out at once.
+    pub(crate) fn record_accepted(&mut self, order: &Order, done: bool) {
         if let Some(pending) = self.pending.iter_mut().find(|p| p.order == *order) {
             pending.accepted = true;
         }
         self.held.seq = self.held.seq.max(order.expect + 1);
-        // The change that an adapter makes is known. How weights end is reported, and when
-        // an adapter goes that is still in use.
-        let known = self.proof.take().filter(|p| p.seq == order.expect);
-        if let (Some(mut proof), Some(adapter)) = (known, &order.adapter) {
-            proof.seq = order.expect + 1;
-            let place = (order.model.clone(), adapter.clone());
+        // The effect of an adapter order is known. The result of an order about weights is
+        // reported, and so is the end of unloading an adapter that is still in use.
+        let known = self.confirmed.take().filter(|p| p.seq == order.expect);
+        if let (Some(mut confirmed), Some(adapter)) = (known, &order.adapter) {
+            confirmed.seq = order.expect + 1;
+            let key = (order.model.clone(), adapter.clone());
             match order.kind {
                 OrderKind::Load => {
-                    proof.loading_adapters.insert(place);
-                    self.proof = Some(proof);
+                    confirmed.loading_adapters.insert(key);
+                    self.confirmed = Some(confirmed);
                 }
                 OrderKind::Unload if done => {
-                    let adapters = proof.models.get_mut(&order.model);
+                    let adapters = confirmed.models.get_mut(&order.model);
                     if let Some(adapters) = adapters {
                         adapters.remove(adapter);
                     }
-                    self.proof = Some(proof);
+                    self.confirmed = Some(confirmed);
                 }
                 OrderKind::Unload => {}
             }
         }
-        // What the engine accepted in between voids other orders of the same condition.
-        let void = |p: &Pending| p.order.expect == order.expect && p.order != *order;
+        // An order accepted in between voids the other orders with the same condition.
+        let void = |p: &PendingOrder| p.order.expect == order.expect && p.order != *order;
         self.pending.retain(|p| !void(p));
     }
 
-    /// Notes that an order was refused and will never be carried out.
-    pub(crate) fn note_refused(&mut self, order: &Order) {
+    /// Records that an order was refused and will never be carried out.
+    pub(crate) fn record_refused(&mut self, order: &Order) {
         self.pending.retain(|p| p.order != *order);
         if order.kind == OrderKind::Unload && order.adapter.is_none() {
             self.retiring.remove(&order.model);
         }
     }
 
-    /// Drops what is only in doubt and has grown old.
+    /// Drops temporary state that has expired.
     pub(crate) fn prune(&mut self, now: Millis) {
         self.changes.prune(now);
         let settled = self.settle(now);
@@ -426,22 +430,21 @@
         let down = since.is_some_and(|s| s < DOWN_MS);
         if settled || down != self.down {
             self.down = down;
-            self.touch();
+            self.bump_revision();
         }
     }
 
-    /// Whether replicas there count.
-    pub(crate) fn counts(&self) -> bool {
+    /// Whether replicas on this engine count: it is neither leaving nor down.
+    pub(crate) fn is_available(&self) -> bool {
         !self.leaving && !self.down
     }
 
-    /// Whether what it holds is known for certain and nothing is under way.
+    /// Whether what it holds is confirmed and no order is in progress.
     pub(crate) fn takes_orders(&self) -> bool {
-        self.counts() && !self.is_moving() && self.is_proven()
+        self.is_available() && !self.has_weight_order() && self.is_confirmed()
     }
 
-    /// When the order about weights that is under way is expected to be done; none where
-    /// none is.
+    /// The time at which the pending order about weights is expected to be done, if there is one.
     pub(crate) fn busy_until(&self, catalog: &Catalog) -> Option<Millis> {
         let pending = self.pending.iter().find(|p| p.order.adapter.is_none())?;
         let rule = catalog.models.get(&pending.order.model)?;
@@ -458,7 +461,7 @@
         self.held.warm.contains(model) || self.held.disk.contains(model)
     }
 
-    /// How long a load of the model takes there.
+    /// The duration of a load of the model at this engine.
     #[must_use]
     pub fn load_time(&self, model: &Model, rule: &ModelProfile) -> Millis {
         if self.held.warm.contains(model) {
--- a/crates/fleet/src/engine_summary.rs
+++ b/crates/fleet/src/engine_summary.rs
@@ -1,50 +1,51 @@
-//! What a plan needs of one engine, by number, worked out once for each change of the engine.
+//! The properties of an engine that a plan needs, by model number, computed once for each change of
+//! the engine.
 
-use crate::model_index::Numbers;
+use crate::model_index::ModelIndex;
 use crate::{Catalog, Engine, Fleet, OrderKind};
 use shaleline_types::{Megabytes, Millis, Upstream};
 use std::collections::BTreeMap;
 
-/// From where an engine loads a model within a few seconds.
+/// The kind of copy from which an engine loads a model within a few seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CopyKind {
     Warm,
     Disk,
 }
 
-/// One engine as plans see it.
+/// One engine as seen by plans.
 #[derive(Debug)]
-pub(crate) struct Row {
+pub(crate) struct EngineSummary {
     revision: u64,
     /// The models that it serves.
     pub(crate) serving: Vec<usize>,
-    /// The models that it is getting and does not serve.
+    /// The models that it is loading and does not serve.
     pub(crate) loading: Vec<usize>,
     /// The models of which it has a copy.
     copies: Vec<(usize, CopyKind)>,
     /// Whether it may be ordered about weights.
     pub(crate) takes_orders: bool,
-    /// When the order about weights that is under way is expected to be done.
+    /// When the order about weights in progress is expected to be done.
     pub(crate) busy_until: Option<Millis>,
     /// The memory that is free in the worst case.
     pub(crate) room: Megabytes,
-    /// Whether it is at work on dropping a model.
-    pub(crate) dropping: bool,
+    /// Whether it is unloading a model.
+    pub(crate) unloading: bool,
 }
 
-impl Row {
-    fn new(engine: &Engine, catalog: &Catalog, numbers: &Numbers) -> Self {
-        let serving = engine.serving().filter_map(|(m, _)| numbers.get(m));
+impl EngineSummary {
+    fn new(engine: &Engine, catalog: &Catalog, model_index: &ModelIndex) -> Self {
+        let serving = engine.serving().filter_map(|(m, _)| model_index.get(m));
         let serving: Vec<usize> = serving.collect();
         let loads = engine.pending.iter().map(|p| &p.order);
         let loads = loads.filter(|o| o.kind == OrderKind::Load && o.adapter.is_none());
-        let loading = loads.filter_map(|o| numbers.get(&o.model));
+        let loading = loads.filter_map(|o| model_index.get(&o.model));
         let loading = loading.filter(|m| !serving.contains(m)).collect();
         let warm = engine.held().warm.iter().map(|m| (m, CopyKind::Warm));
         let disk = engine.held().disk.iter().map(|m| (m, CopyKind::Disk));
         let copies = warm
             .chain(disk)
-            .filter_map(|(m, k)| Some((numbers.get(m)?, k)));
+            .filter_map(|(m, k)| Some((model_index.get(m)?, k)));
         let used = engine.worst_memory(catalog);
         Self {
             revision: engine.revision,
@@ -54,11 +55,11 @@
             takes_orders: engine.takes_orders(),
             busy_until: engine.busy_until(catalog),
             room: Megabytes(catalog.memory.since(used)),
-            dropping: engine.is_dropping(),
+            unloading: engine.is_unloading(),
         }
     }
 
-    /// From where it would load the model; none where from the weight store.
+    /// The copy from which it would load the model; none if it would load from the weight store.
     pub(crate) fn copy(&self, model: usize) -> Option<CopyKind> {
         let copy = self.copies.iter().find(|(m, _)| *m == model);
         copy.map(|(_, kind)| *kind)
@@ -74,32 +75,32 @@
     }
 }
 
-/// The rows of a fleet, kept from plan to plan.
+/// The summaries of a fleet, kept between plans.
 #[derive(Debug, Default)]
-pub(crate) struct Rows {
-    rows: BTreeMap<Upstream, Row>,
+pub(crate) struct EngineSummaries {
+    summaries: BTreeMap<Upstream, EngineSummary>,
 }
 
-impl Rows {
-    /// Works out anew what has changed.
-    pub(crate) fn refresh(&mut self, fleet: &Fleet, catalog: &Catalog, numbers: &Numbers) {
-        self.rows.retain(|name, _| fleet.get(name).is_some());
+impl EngineSummaries {
+    /// Computes the summaries of engines that have changed.
+    pub(crate) fn refresh(&mut self, fleet: &Fleet, catalog: &Catalog, model_index: &ModelIndex) {
+        self.summaries.retain(|name, _| fleet.get(name).is_some());
         for (name, engine) in fleet.iter() {
-            let known = self.rows.get(name).map(|r| r.revision);
+            let known = self.summaries.get(name).map(|r| r.revision);
             if known != Some(engine.revision) {
-                let row = Row::new(engine, catalog, numbers);
-                self.rows.insert(name.clone(), row);
+                let summary = EngineSummary::new(engine, catalog, model_index);
+                self.summaries.insert(name.clone(), summary);
             }
         }
     }
 
-    /// Forgets all: the numbers or what they mean have changed.
+    /// Drops all summaries, as the model numbers or their models have changed.
     pub(crate) fn clear(&mut self) {
-        self.rows.clear();
+        self.summaries.clear();
     }
 
-    /// All rows, in the order of the fleet's engines.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Row> {
-        self.rows.values()
+    /// All summaries, in the order of the engines of the fleet.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &EngineSummary> {
+        self.summaries.values()
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All engines of one service, as far as is known.
+//! The known state of all engines of one service.
 
 use crate::{Engine, Held, HeldSource, Order, OrderReply};
 use shaleline_types::{Adapter, DataCentre, Millis, Model, Upstream};
@@ -11,7 +11,7 @@
 }
 
 impl Fleet {
-    /// Takes in what an engine holds.
+    /// Updates the state of an engine, which is added if it is unknown.
     pub fn observe(
         &mut self,
         name: &Upstream,
@@ -22,7 +22,7 @@
     ) {
         match self.engines.get_mut(name) {
             Some(engine) => {
-                engine.touch();
+                engine.bump_revision();
                 engine.observe(held, from, now);
             }
             None => {
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Takes in a report of an engine that is known.
+    /// Updates a known engine from its own report.
     pub fn report(&mut self, name: &Upstream, held: Held, now: Millis) {
-        if let Some(engine) = self.change(name) {
+        if let Some(engine) = self.engine_mut(name) {
             engine.observe(held, HeldSource::Reported, now);
         }
     }
 
-    /// Notes that a model or adapter is not there, or soon won't be.
+    /// Records that a model or adapter is not held by an engine, or will be unloaded soon.
     pub fn record_absent(
         &mut self,
         name: &Upstream,
@@ -48,7 +48,7 @@
         adapter: Option<&Adapter>,
         now: Millis,
     ) {
-        let Some(engine) = self.change(name) else {
+        let Some(engine) = self.engine_mut(name) else {
             return;
         };
         match adapter {
@@ -61,92 +61,92 @@
 
     /// Sets whether an engine is leaving.
     pub fn set_leaving(&mut self, name: &Upstream, leaving: bool) {
-        if let Some(engine) = self.change(name) {
+        if let Some(engine) = self.engine_mut(name) {
             engine.leaving = leaving;
         }
     }
 
-    /// Notes that an engine refused a connection.
+    /// Records that an engine refused a connection.
     pub fn record_unreachable(&mut self, name: &Upstream, now: Millis) {
-        if let Some(engine) = self.change(name) {
+        if let Some(engine) = self.engine_mut(name) {
             engine.unreachable = Some(now);
             engine.down = true;
         }
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine.
     pub fn remove(&mut self, name: &Upstream) {
         self.engines.remove(name);
     }
 
-    /// Notes that an order leaves.
+    /// Records that an order is sent.
     pub fn record_sent(&mut self, order: &Order, now: Millis) {
-        if let Some(engine) = self.change_meant(order) {
-            engine.note_sent(order, now);
+        if let Some(engine) = self.target_mut(order) {
+            engine.record_sent(order, now);
         }
     }
 
-    /// Notes the answer to an order.
+    /// Records the reply to an order.
     pub fn record_reply(&mut self, order: &Order, reply: OrderReply, now: Millis) {
-        let Some(engine) = self.change_meant(order) else {
+        let Some(engine) = self.target_mut(order) else {
             return;
         };
         match reply {
-            OrderReply::Accepted => engine.note_accepted(order, false),
-            // An adapter that nobody uses is dropped at once.
-            OrderReply::Done if order.drops_adapter() => {
-                engine.note_accepted(order, true);
+            OrderReply::Accepted => engine.record_accepted(order, false),
+            // An adapter that is not in use is unloaded at once.
+            OrderReply::Done if order.unloads_adapter() => {
+                engine.record_accepted(order, true);
                 engine.settle(now);
             }
             OrderReply::Done | OrderReply::Lost => {}
             OrderReply::Conflict
             | OrderReply::Fenced
             | OrderReply::Elsewhere
-            | OrderReply::Invalid => engine.note_refused(order),
+            | OrderReply::Invalid => engine.record_refused(order),
         }
     }
 
-    /// An engine about which something changes.
-    fn change(&mut self, name: &Upstream) -> Option<&mut Engine> {
+    /// Returns an engine for a change of its state.
+    fn engine_mut(&mut self, name: &Upstream) -> Option<&mut Engine> {
         let engine = self.engines.get_mut(name)?;
-        engine.touch();
+        engine.bump_revision();
         Some(engine)
     }
 
-    /// The engine that an order is meant for, unless it has started again since.
-    fn change_meant(&mut self, order: &Order) -> Option<&mut Engine> {
-        self.change(&order.engine)
+    /// Returns the engine that an order is for, unless it has restarted since.
+    fn target_mut(&mut self, order: &Order) -> Option<&mut Engine> {
+        self.engine_mut(&order.engine)
             .filter(|e| e.held.incarnation == order.incarnation)
     }
 
-    /// Drops doubts that have grown old.
+    /// Drops pending orders and other temporary state that has expired.
     pub fn prune(&mut self, now: Millis) {
         for engine in self.engines.values_mut() {
             engine.prune(now);
         }
     }
 
-    /// One engine.
+    /// Returns one engine.
     #[must_use]
     pub fn get(&self, name: &Upstream) -> Option<&Engine> {
         self.engines.get(name)
     }
 
-    /// All engines.
+    /// Iterates over all engines.
     pub fn iter(&self) -> impl Iterator<Item = (&Upstream, &Engine)> {
         self.engines.iter()
     }
 
-    /// How many engines serve the model, or will soon.
+    /// The number of engines that serve the model or are loading it.
     #[must_use]
     pub fn replicas(&self, model: &Model) -> usize {
-        let serves = |e: &&Engine| e.counts() && e.will_serve(model);
+        let serves = |e: &&Engine| e.is_available() && e.will_serve(model);
         self.engines.values().filter(serves).count()
     }
 
-    /// Engines that must be asked what they hold before they can be ordered.
+    /// Engines that must report what they hold before they can take orders.
     pub fn unconfirmed(&self) -> impl Iterator<Item = &Upstream> {
-        let unproven = |(_, e): &(&Upstream, &Engine)| !e.leaving && !e.is_proven();
+        let unproven = |(_, e): &(&Upstream, &Engine)| !e.leaving && !e.is_confirmed();
         self.engines.iter().filter(unproven).map(|(n, _)| n)
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decides which engine holds which model and adapter, and which daemon may order it.
+//! Decides which engine holds which model and adapter, and which daemon may send the orders.
 //!
-//! * [`Claim`] is the lease of the one planner, kept in the platform's log: whoever
-//!   appends a record at the expected end of the topic holds it, and the record's offset
-//!   is the fencing token.
-//! * [`Fleet`] is what is believed of every engine, orders in doubt counted at their worst.
+//! * [`PlannerLease`] is the lease of the single planner, kept in the platform's log: the daemon
+//!   that appends a record at the expected end of the topic holds it, and the record's offset is
+//!   the fencing token.
+//! * [`Fleet`] is the known state of every engine; unconfirmed orders count at their worst case.
 //! * [`Planner`] proposes [`Order`]s from the fleet, the [`Catalog`] and the [`Demand`];
-//!   [`ServicePlanners`] keeps one for each service.
-//! * [`UnmetDemand`] is what callers asked for in vain, until it is served.
-//! * [`LoadWindow`] keeps loads from the weight store under its rate.
+//!   [`ServicePlanners`] keeps one planner for each service.
+//! * [`UnmetDemand`] records the requests that no engine could serve, until they are served.
+//! * [`LoadWindow`] keeps loads from the weight store under its rate limit.
 //!
-//! Nothing here reads a clock or a socket. `docs/PLACEMENT.md` has the ways weighed.
+//! Nothing here reads a clock or a socket. `docs/PLACEMENT.md` lists the alternatives considered.
 
 mod adapters;
 mod best_move;
--- a/crates/fleet/src/model_index.rs
+++ b/crates/fleet/src/model_index.rs
@@ -1,4 +1,4 @@
-//! Models by number: a plan compares thousands of pairs, and names are slow to compare.
+//! Numbers the models: a plan compares thousands of pairs, and comparing names is slow.
 
 use crate::Catalog;
 use shaleline_types::Model;
@@ -6,12 +6,12 @@
 
 /// The models of a catalog, numbered in the order of their names.
 #[derive(Debug)]
-pub(crate) struct Numbers {
+pub(crate) struct ModelIndex {
     catalog: Catalog,
     by_name: HashMap<Model, usize>,
 }
 
-impl Numbers {
+impl ModelIndex {
     pub(crate) fn new(catalog: &Catalog) -> Self {
         let names = catalog.models.keys().cloned();
         Self {
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Whether these are the numbers of this catalog, of which nothing has changed.
-    pub(crate) fn fit(&self, catalog: &Catalog) -> bool {
+    /// Whether these are the numbers of this catalog, unchanged.
+    pub(crate) fn covers(&self, catalog: &Catalog) -> bool {
         self.catalog == *catalog
     }
 
-    /// A model's number; none where the catalog does not name it.
+    /// Returns the number of a model; none if it is not in the catalog.
     pub(crate) fn get(&self, model: &Model) -> Option<usize> {
         self.by_name.get(model).copied()
     }
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -1,53 +1,53 @@
-//! Which model is loaded where, and which makes room for it.
+//! Decides which model is loaded where, and which model it evicts.
 //!
-//! Each possible move is valued by the requests that callers gain over the time for which
-//! demand is taken to last: fewer are late or refused on engines at their limit, from the
-//! time at which the load is done; what makes room is missed at once. So a copy on an engine's disk, a
-//! second away, beats the weight store; hot models spread over engines of their own; and
-//! models that nobody asks for give way while their copies keep them within a second's
-//! reach. Against a plan that compares milliseconds of prompts step by step, 590 in place of
-//! 536 of 1,000 chats on crowded days are in time, by 30 days played. `docs/DECISIONS.md` has
+//! A move is valued by the requests that it saves over the time for which demand is expected to
+//! last: fewer requests are late or refused on engines at their limit once the load is done, while
+//! the evicted model loses its replica at once. So a copy on an engine's disk, a second away, is
+//! preferred to the weight store; models with much work spread over engines of their own; and
+//! models without requests are evicted while their copies can be loaded again within a second.
+//! Compared with a plan that weighs milliseconds of prompts step by step, 590 instead of 536 of
+//! 1,000 chats on overloaded days are in time, over 30 simulated days. `docs/DECISIONS.md` lists
 //! what was tried.
 
 use crate::best_move::Move;
 use crate::draft::Draft;
-use crate::valuation::Board;
+use crate::valuation::Valuation;
 use crate::{OrderKind, PlanNote};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// How many changes one plan weighs in full: each takes about a microsecond on a core of
-/// today, and a plan has a few milliseconds of an instance with half of one. The most urgent
-/// models come first, the others in the next plan.
-const MOST_WEIGHED: usize = 2_500;
+/// The number of changes that one plan evaluates in full. Each takes about a microsecond on a
+/// current core, and a plan has a few milliseconds of an instance with half a core. Models with the
+/// largest losses come first, the others in the next plan.
+const EVALUATION_LIMIT: usize = 2_500;
 
-/// The part of it that is spent on finding each model's best move; the rest is for looking
-/// again before a move is made.
-const FIRST_PART: usize = 2;
+/// The first pass, which finds the best move of each model, may spend one part in this many of the
+/// evaluations; the rest is for evaluating a move again before it is made.
+const FIRST_PASS_DIVISOR: usize = 2;
 
-/// A model's best move, waiting for its turn: the best first, of equals the one found last.
+/// The best move of a model, ordered by value and then by the order of discovery, the latest first.
 #[derive(Debug, Clone, Copy)]
-struct Turn {
+struct RankedMove {
     model: usize,
     value: f64,
     found: usize,
 }
 
-impl PartialEq for Turn {
+impl PartialEq for RankedMove {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Turn {}
+impl Eq for RankedMove {}
 
-impl PartialOrd for Turn {
+impl PartialOrd for RankedMove {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Turn {
+impl Ord for RankedMove {
     fn cmp(&self, other: &Self) -> Ordering {
         let value = self.value.total_cmp(&other.value);
         value.then(self.found.cmp(&other.found))
@@ -55,19 +55,19 @@
 }
 
 impl<'a> Draft<'a> {
-    /// Makes the moves that are worth most, the best first. A move changes what others are
-    /// worth, mostly to less, so the best is looked at anew before it is made.
-    pub(crate) fn make_moves(&mut self, board: &mut Board<'a>) {
-        board.left = MOST_WEIGHED;
-        let mut turns = BinaryHeap::new();
+    /// Makes the moves with the highest values, the best first. A move changes the value of others,
+    /// mostly to a lower one, so the best is evaluated again before it is made.
+    pub(crate) fn plan_moves(&mut self, valuation: &mut Valuation<'a>) {
+        valuation.evaluations_left = EVALUATION_LIMIT;
+        let mut ranked = BinaryHeap::new();
         let mut found = 0;
-        for model in board.neediest() {
-            if board.left <= MOST_WEIGHED / FIRST_PART {
+        for model in valuation.neediest() {
+            if valuation.evaluations_left <= EVALUATION_LIMIT / FIRST_PASS_DIVISOR {
                 break;
             }
-            if let Some(chosen) = board.best(self, model) {
+            if let Some(chosen) = valuation.best(self, model) {
                 let value = chosen.value;
-                turns.push(Turn {
+                ranked.push(RankedMove {
                     model,
                     value,
                     found,
@@ -75,19 +75,19 @@
                 found += 1;
             }
         }
-        while board.left > 0 {
-            let Some(Turn { model, .. }) = turns.pop() else {
+        while valuation.evaluations_left > 0 {
+            let Some(RankedMove { model, .. }) = ranked.pop() else {
                 return;
             };
-            let Some(chosen) = board.best(self, model) else {
+            let Some(chosen) = valuation.best(self, model) else {
                 continue;
             };
-            let next = turns.peek().map_or(0.0, |t| t.value);
+            let next = ranked.peek().map_or(0.0, |t| t.value);
             if chosen.value >= next {
-                board.apply(model, &chosen);
-                self.make_move(model, &chosen);
+                valuation.apply(model, &chosen);
+                self.plan_move(model, &chosen);
             }
-            turns.push(Turn {
+            ranked.push(RankedMove {
                 model,
                 value: chosen.value,
                 found,
@@ -96,35 +96,35 @@
         }
     }
 
-    fn make_move(&mut self, model: usize, chosen: &Move) {
+    fn plan_move(&mut self, model: usize, chosen: &Move) {
         let name = self.snapshot.models[model].0;
-        self.taken[chosen.engine] = true;
+        self.ordered[chosen.engine] = true;
         if chosen.wait {
             return;
         }
-        self.note_move(model, chosen);
+        self.record_move(model, chosen);
         self.replicas[model] += 1;
         let Some(victim) = chosen.victim else {
-            self.loads -= usize::from(chosen.far);
+            self.loads -= usize::from(chosen.from_store);
             self.order(chosen.engine, OrderKind::Load, name, None);
             return;
         };
         self.replicas[victim] = self.replicas[victim].saturating_sub(1);
         let victim = self.snapshot.models[victim].0;
         self.order(chosen.engine, OrderKind::Unload, victim, None);
-        self.intend(chosen.engine, name);
+        self.reserve(chosen.engine, name);
     }
 
-    fn note_move(&mut self, model: usize, chosen: &Move) {
+    fn record_move(&mut self, model: usize, chosen: &Move) {
         let snapshot = self.snapshot;
-        let victim_asked = chosen.victim.map_or(0.0, |v| snapshot.asked[v].count);
+        let victim_asked = chosen.victim.map_or(0.0, |v| snapshot.rates[v].count);
         self.notes.push(PlanNote::Move {
             model: snapshot.models[model].0.clone(),
-            engine: snapshot.places[chosen.engine].name.clone(),
+            engine: snapshot.engines[chosen.engine].name.clone(),
             victim: chosen.victim.map(|v| snapshot.models[v].0.clone()),
             value: chosen.value,
-            asked: (snapshot.asked[model].count, victim_asked),
-            from_store: chosen.far,
+            asked: (snapshot.rates[model].count, victim_asked),
+            from_store: chosen.from_store,
             loads: self.loads,
         });
     }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,10 +1,10 @@
-//! What may be ordered of an engine.
+//! Orders to engines and their replies.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Adapter, Incarnation, Model, Upstream};
 use std::fmt;
 
-/// What an order does.
+/// The operation of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
     /// Load weights or an adapter.
@@ -15,32 +15,32 @@
 
 /// One order to one engine.
 ///
-/// It holds only while the engine has accepted exactly `expect` orders, so an order that
-/// is carried out seconds late finds its condition gone.
+/// It is valid only while the engine has accepted exactly `expect` orders, so an order that arrives
+/// seconds late no longer meets its condition.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The engine.
     pub engine: Upstream,
-    /// What to do.
+    /// The operation.
     pub kind: OrderKind,
     /// The model.
     pub model: Model,
-    /// The adapter, where the order is about one.
+    /// The adapter, if the order is about one.
     pub adapter: Option<Adapter>,
-    /// The start of the engine that it is meant for.
+    /// The incarnation of the engine that the order is for.
     pub incarnation: Incarnation,
-    /// The orders that the engine must have accepted before.
+    /// The number of orders that the engine must have accepted before.
     pub expect: u64,
     /// The fencing token.
     pub fence: u64,
-    /// Who orders.
+    /// The name of the planner that sends the order.
     pub holder: String,
 }
 
 impl Order {
-    /// Whether it drops an adapter.
+    /// Whether it unloads an adapter.
     #[must_use]
-    pub fn drops_adapter(&self) -> bool {
+    pub fn unloads_adapter(&self) -> bool {
         self.kind == OrderKind::Unload && self.adapter.is_some()
     }
 }
@@ -59,21 +59,21 @@
     }
 }
 
-/// What an engine answers to an order.
+/// The reply of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is being carried out.
+    /// The order is being carried out.
     Accepted,
-    /// It holds already.
+    /// The state that it asks for exists already.
     Done,
-    /// Another order is under way, or the condition does not hold.
+    /// Another order is in progress, or the condition does not hold.
     Conflict,
     /// The engine has seen a higher fencing token.
     Fenced,
     /// Another engine has the address.
     Elsewhere,
-    /// The engine does not take the order.
+    /// The engine does not support the order.
     Invalid,
-    /// No answer: it may have been accepted, or be carried out later.
+    /// There was no reply: the order may have been accepted, or be carried out later.
     Lost,
 }
--- a/crates/fleet/src/plan_note.rs
+++ b/crates/fleet/src/plan_note.rs
@@ -1,79 +1,81 @@
-//! What a plan decided and why, for the log.
+//! The decisions of a plan and their reasons, for the log.
 
 use shaleline_types::{Adapter, Millis, Model, Upstream};
 use std::fmt;
 
-/// One decision, with what decided it.
+/// One decision, with the figures behind it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanNote {
     /// A model is loaded at an engine, or room is made for it there.
     Move {
         /// The model.
         model: Model,
-        /// Where.
+        /// The engine.
         engine: Upstream,
-        /// The model that makes room.
+        /// The evicted model.
         victim: Option<Model>,
-        /// What the move is worth, in requests over the horizon.
+        /// The value of the move, in requests over the horizon.
         value: f64,
-        /// What is asked for of the model and of the one that makes room, in requests a second.
+        /// The request rates of the model and of the evicted one, in requests a second.
         asked: (f32, f32),
-        /// Whether it comes from the weight store, and how many loads from there may begin.
+        /// Whether the model is loaded from the weight store.
         from_store: bool,
-        /// The loads from the weight store that might begin before this one.
+        /// The loads from the weight store that could begin before this one.
         loads: usize,
     },
-    /// Callers ask for a model that no engine serves.
+    /// A requested model has no replica.
     ModelAway {
         /// The model.
         model: Model,
-        /// For how long.
+        /// The duration of its absence.
         away: Millis,
-        /// What is asked for, in requests a second.
+        /// Its request rate, in requests a second.
         asked: f32,
-        /// How many engines are getting it.
+        /// The number of engines that are loading it.
         coming: usize,
-        /// How many engines have a copy.
+        /// The number of engines with a copy.
         copies: usize,
-        /// How many engines could be ordered now.
+        /// The number of engines that could be ordered now.
         free: usize,
-        /// How many engines are at work on dropping a model.
+        /// The number of engines that are unloading a model.
         dropping: usize,
-        /// How many loads from the weight store may begin.
+        /// The number of loads from the weight store that may begin.
         loads: usize,
     },
-    /// Callers wait for an adapter that no engine has.
+    /// Callers wait for an adapter that no engine holds.
     AdapterAway {
         /// The model.
         model: Model,
         /// The adapter.
         adapter: Adapter,
-        /// For how long.
+        /// The duration of the wait.
         waited: Millis,
-        /// What is asked for of it, in requests a second.
+        /// Its request rate, in requests a second.
         asked: f32,
-        /// How many engines serve the model.
+        /// The number of engines that serve the model.
         serving: usize,
-        /// Why none of them is getting it.
+        /// The reason why it is not being loaded.
         why: WaitReason,
     },
-    /// A model that callers asked for in vain is served again.
+    /// A model with unmet demand is served again.
     ModelBack {
         /// The model.
         model: Model,
-        /// For how long it was away.
+        /// The duration of its absence.
         away: Millis,
     },
 }
 
-/// Why an adapter that callers wait for is at no engine.
+/// The reason why no engine holds an adapter that callers wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
     /// No engine serves its model.
     ModelAway,
-    /// Each engine that serves its model is at work on an order, or is left alone for a while.
+    /// Every engine that serves its model has an order in progress, or gets no orders for some
+    /// time.
     EnginesBusy,
-    /// Their places are taken by what came a moment ago, or is asked for and not to make room.
+    /// All slots hold adapters that were loaded just now, or that are requested and not to be
+    /// evicted.
     NoSlot,
     /// It is ordered now.
     Ordered,
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,31 +1,32 @@
-//! Proposes which engine loads or drops what.
+//! Proposes which engine loads or unloads which model or adapter.
 //!
-//! Each call looks at the fleet as it is, orders in doubt included, and proposes the next
-//! step for engines that are not busy. What is remembered is for which model an engine is
-//! making room, which models callers ask for in vain, which engines left lately, and what was
-//! worked out of engines that have not changed since. `snapshot` is what a plan looks at,
-//! `draft` what it has decided; `moves` decides about weights, `adapt` about adapters, `spread`
-//! about the time before the first traffic. `docs/PLACEMENT.md` has what was weighed.
+//! Each call plans from the current state of the fleet, including pending orders, and proposes the
+//! next step for engines that are not busy. Between calls a planner keeps only the reservations of
+//! engines that are making room, the models and adapters with unmet demand, the engines that left
+//! recently, and summaries of engines that have not changed. `snapshot` is the input of a plan and
+//! `draft` its decisions so far; `moves` decides about weights, `adapters` about adapters, and
+//! `warmup` about the time before the first traffic. `docs/PLACEMENT.md` lists the alternatives
+//! considered.
 
 use crate::churn::Churn;
 use crate::draft::Draft;
-use crate::engine_summary::Rows;
-use crate::model_absence::Absences;
-use crate::model_index::Numbers;
+use crate::engine_summary::EngineSummaries;
+use crate::model_absence::AbsenceTracker;
+use crate::model_index::ModelIndex;
 use crate::snapshot::Snapshot;
-use crate::valuation::Board;
-use crate::waits::Waits;
+use crate::valuation::Valuation;
+use crate::waits::WaitTracker;
 use crate::warmup::WarmupPhase;
 use crate::{Catalog, Engine, Fleet, LoadWindow, Order, PlanNote, Rates, UnmetByKey};
 use shaleline_types::{Millis, Model, Upstream};
 use std::collections::BTreeMap;
 
-/// The figures that weigh moves.
+/// Limits for adapters.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlanSettings {
-    /// The replicas of an adapter that is asked for.
+    /// The target number of replicas of a requested adapter.
     pub adapter_replicas: usize,
-    /// How many adapters may be on their way to one engine.
+    /// The maximum number of adapters that may be loading or unloading at one engine.
     pub pending_adapters: usize,
 }
 
@@ -38,28 +39,28 @@
     }
 }
 
-/// What a plan looks at.
+/// The input of a plan.
 #[derive(Debug)]
 pub struct PlanView<'a> {
-    /// The models and the room on an engine.
+    /// The models and the capacity of an engine.
     pub catalog: &'a Catalog,
     /// The engines.
     pub fleet: &'a Fleet,
-    /// What is asked for.
+    /// The request rates.
     pub rates: &'a Rates,
-    /// What is asked for in vain.
+    /// The unmet demand.
     pub unmet: &'a UnmetByKey,
-    /// The fencing token to order with.
+    /// The fencing token of the orders.
     pub fence: u64,
-    /// Who orders.
+    /// The name of the daemon that sends the orders.
     pub holder: &'a str,
     /// Whether copies may be spread before the first traffic.
     pub warmup: WarmupPhase,
-    /// Engines that a planner before ordered a moment ago, and until when they are left
-    /// alone.
+    /// Engines that recently had an order from the previous planner, and the time until which they
+    /// get none from this one.
     pub cooldowns: &'a BTreeMap<Upstream, Millis>,
-    /// Whether the planner before died a moment ago: this one may too, and nobody plans when callers
-    /// come back who were told a time.
+    /// Whether the previous planner failed recently. This one may fail too, and then no daemon
+    /// plans when callers retry after the time announced to them.
     pub after_failure: bool,
 }
 
@@ -67,40 +68,41 @@
 #[derive(Debug, Default)]
 pub struct Planner {
     settings: PlanSettings,
-    intents: BTreeMap<Upstream, Intent>,
-    absences: Absences,
-    waits: Waits,
+    reservations: BTreeMap<Upstream, Reservation>,
+    absences: AbsenceTracker,
+    waits: WaitTracker,
     churn: Churn,
     notes: Vec<PlanNote>,
-    /// The models of the catalog that was planned with last.
-    numbers: Option<Numbers>,
-    rows: Rows,
+    /// The model numbers of the catalog of the previous plan.
+    model_index: Option<ModelIndex>,
+    summaries: EngineSummaries,
 }
 
-/// The model for which an engine is making room.
+/// A model for which an engine is making room.
 #[derive(Debug, Clone)]
-struct Intent {
+struct Reservation {
     model: Model,
     since: Millis,
 }
 
-/// An order to make room leaves so much later at the most: other daemons are told first.
-const LEAVES_MS: u64 = 400;
+/// An order to make room is sent at most this much later, since the other daemons are informed
+/// first.
+const DISPATCH_MS: u64 = 400;
 
-/// Room that was not made by then is not counted on any more.
-const FORGET_MS: u64 = 6_000;
+/// A reservation lapses if the room has not been made by then.
+const RESERVATION_MS: u64 = 6_000;
 
-impl Intent {
+impl Reservation {
     /// Whether the engine is still making room.
-    fn holds(&self, engine: Option<&Engine>, now: Millis) -> bool {
+    fn is_active(&self, engine: Option<&Engine>, now: Millis) -> bool {
         let age = now.since(self.since);
-        let making = engine.is_some_and(|e| e.counts() && !e.takes_orders());
-        age < LEAVES_MS || (making && age < FORGET_MS)
+        let making_room = engine.is_some_and(|e| e.is_available() && !e.takes_orders());
+        age < DISPATCH_MS || (making_room && age < RESERVATION_MS)
     }
 }
 
 impl Planner {
-    /// A planner with these figures.
+    /// Creates a planner with these settings.
     #[must_use]
     pub fn new(settings: PlanSettings) -> Self {
         Self {
@@ -109,8 +111,8 @@
         }
     }
 
-    /// The orders to give now, at most one about weights and one about an adapter for
-    /// each engine.
+    /// Returns the orders to send now: at most one about weights and one about an adapter for each
+    /// engine.
     #[must_use]
     pub fn plan(
         &mut self,
@@ -118,54 +120,59 @@
         window: &mut LoadWindow,
         now: Millis,
     ) -> Vec<Order> {
-        self.intents
-            .retain(|name, intent| intent.holds(view.fleet.get(name), now));
+        self.reservations
+            .retain(|name, reservation| reservation.is_active(view.fleet.get(name), now));
         self.churn.observe(view.fleet, now);
-        let fits = self.numbers.as_ref().is_some_and(|n| n.fit(view.catalog));
-        if !fits {
-            self.numbers = None;
-            self.rows.clear();
+        let is_current = self
+            .model_index
+            .as_ref()
+            .is_some_and(|n| n.covers(view.catalog));
+        if !is_current {
+            self.model_index = None;
+            self.summaries.clear();
         }
-        let numbers = self
-            .numbers
-            .get_or_insert_with(|| Numbers::new(view.catalog));
-        self.rows.refresh(view.fleet, view.catalog, numbers);
-        let snapshot = Snapshot::new(view, numbers, &self.rows, now);
-        let intent = |name: &Upstream| {
-            let intent = self.intents.get(name)?;
-            numbers.get(&intent.model)
+        let model_index = self
+            .model_index
+            .get_or_insert_with(|| ModelIndex::new(view.catalog));
+        self.summaries
+            .refresh(view.fleet, view.catalog, model_index);
+        let snapshot = Snapshot::new(view, model_index, &self.summaries, now);
+        let reservation = |name: &Upstream| {
+            let reservation = self.reservations.get(name)?;
+            model_index.get(&reservation.model)
         };
-        let mut draft = Draft::new(&snapshot, self.settings, intent);
+        let mut draft = Draft::new(&snapshot, self.settings, reservation);
         draft.loads = window.available(view.catalog.load_rate, now);
-        draft.most_loads = window.capacity(view.catalog.load_rate);
+        draft.load_capacity = window.capacity(view.catalog.load_rate);
         draft.notes = self.absences.observe(&draft);
-        draft.in_vain = self.absences.in_vain(&snapshot);
+        draft.unmet_callers = self.absences.unmet_callers(&snapshot);
         draft.waiting = self.waits.observe(view, &draft.adapter_copies, now);
-        let mut board = Board::new(&draft, &self.churn);
-        // An adapter is there within milliseconds; an engine that loads weights takes none for
-        // seconds. So those that are nowhere go before weights, further copies after them.
-        let asked = draft.asked_adapters();
-        draft.adapt(&board, &asked, 1);
-        draft.make_moves(&mut board);
-        draft.adapt(&board, &asked, self.settings.adapter_replicas);
-        draft.use_lead();
-        let waiting = self.waits.tell(&draft);
-        self.notes.extend(waiting);
+        let mut valuation = Valuation::new(&draft, &self.churn);
+        // An adapter loads within milliseconds, but an engine that loads weights takes no adapter
+        // for seconds. So adapters that no engine holds go before weights, and further copies after
+        // them.
+        let demands = draft.adapter_demands();
+        draft.load_adapters(&valuation, &demands, 1);
+        draft.plan_moves(&mut valuation);
+        draft.load_adapters(&valuation, &demands, self.settings.adapter_replicas);
+        draft.run_warmup();
+        let wait_notes = self.waits.report(&draft);
+        self.notes.extend(wait_notes);
         let Draft {
             orders,
-            intended,
+            reserved,
             notes,
             ..
         } = draft;
         self.notes.extend(notes);
-        for (name, model) in intended {
-            let intent = Intent { model, since: now };
-            self.intents.insert(name, intent);
+        for (name, model) in reserved {
+            let reservation = Reservation { model, since: now };
+            self.reservations.insert(name, reservation);
         }
         orders
     }
 
-    /// What was decided since this was asked last, and why.
+    /// Takes the decisions made since the last call, with their reasons.
     pub fn take_notes(&mut self) -> Vec<PlanNote> {
         std::mem::take(&mut self.notes)
     }
--- a/crates/fleet/src/planner_lease.rs
+++ b/crates/fleet/src/planner_lease.rs
@@ -1,34 +1,34 @@
-//! The lease of the one planner, kept in the platform's log.
+//! The lease of the single planner, kept in the platform's log.
 //!
-//! A claim is a record appended on condition that the topic ends where the claimant saw
-//! it end. Its offset is the fencing token. The holder appends again to renew, on the same
-//! kind of condition, so a claim in between is noticed at once. A holder orders only
-//! within [`ClaimSettings::valid`] of the start of its last renewal; whoever wants to
-//! succeed it waits until that time and the lease have passed with nothing new at the
-//! topic's end. A holder that stops says so with what it ordered last; then there is
-//! nothing to wait for but the engines it ordered within the lease. Only steady clocks of
-//! single processes are compared.
+//! The lease is acquired by a record appended on the condition that the topic still ends where this
+//! daemon read its end. The offset of the record is the fencing token. The holder renews by
+//! appending again on the same kind of condition, so an acquisition in between is noticed at once.
+//! A holder sends orders only within [`PlannerLeaseSettings::validity`] of the start of its last
+//! renewal; a successor waits until that time and the lease have passed without a new record at the
+//! end of the topic. A holder that stops appends a release with its last orders; its successor then
+//! waits only for the engines that had an order within the lease. Only monotonic clocks of single
+//! processes are compared.
 
 use shaleline_types::Millis;
 
-/// What decides when a claim lapses.
+/// The timing of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannerLeaseSettings {
-    /// How often the holder renews.
+    /// The interval of renewals.
     pub renew_interval: Millis,
-    /// How long the holder orders after the start of its last renewal.
+    /// The time after the start of its last renewal during which the holder may send orders.
     pub validity: Millis,
-    /// How long must pass between the orders of two holders.
+    /// The time that must pass between the orders of two holders.
     pub lease: Millis,
-    /// What the successor waits beyond that, for orders on their way.
+    /// The time that the successor waits beyond that, for orders in transit.
     pub slack: Millis,
-    /// How often the topic is read while nobody seems to hold it.
+    /// The interval at which the topic is read while no holder is known.
     pub read_interval: Millis,
 }
 
 impl PlannerLeaseSettings {
-    /// Figures for a platform that wants `lease` between two holders. A renewal may fail
-    /// once, or the store take some hundred milliseconds, before the claim lapses.
+    /// Returns the settings for a platform that requires `lease` between two holders. One renewal
+    /// may fail, or the store take some hundred milliseconds, before the lease lapses.
     #[must_use]
     pub fn from_lease(lease: Millis) -> Self {
         Self {
@@ -44,7 +44,7 @@
         self.validity.0 + self.cooldown().0
     }
 
-    /// How long an engine is left alone between the orders of two holders.
+    /// The time during which an engine gets no orders between those of two holders.
     #[must_use]
     pub fn cooldown(&self) -> Millis {
         self.lease.plus(self.slack.0)
@@ -54,40 +54,40 @@
 /// The end of the topic as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannerLeaseView {
-    /// Where the topic ends.
+    /// The offset of the end of the topic.
     pub end: u64,
-    /// Who wrote the newest record, where there is one.
+    /// The writer of the newest record, if there is one.
     pub holder: Option<String>,
-    /// Whether that record gives the claim up.
+    /// Whether that record releases the lease.
     pub released: bool,
-    /// Whether it says what its writer ordered last, see [`crate::Handover`]: then the
-    /// successor waits engine by engine and not before it claims.
+    /// Whether that record has the last orders of its writer, see [`crate::Handover`]: the
+    /// successor then waits for each engine on its own, and not before it acquires the lease.
     pub has_handover: bool,
 }
 
-/// What to do next.
+/// The next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlannerLeaseAction {
     /// Read the newest record and the end of the topic.
     Read,
-    /// Append a claim or a renewal on condition that the topic ends there.
+    /// Append an acquisition or a renewal on the condition that the topic ends there.
     Append {
         /// The expected end.
         end: u64,
-        /// The fencing token of the claim that is renewed; none for a new claim.
+        /// The fencing token of the lease to renew; none for an acquisition.
         fence: Option<u64>,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Somebody else holds it, or nobody does.
+    /// Another daemon holds the lease, or none does.
     Watching,
-    /// The end has not moved since then.
+    /// The end of the topic has not moved since then.
     Waiting { end: u64, since: Millis, wait: u64 },
-    /// An append is under way.
-    Claiming { end: u64, began: Millis },
-    /// This daemon holds it.
+    /// An append is in progress.
+    Acquiring { end: u64, started: Millis },
+    /// This daemon holds the lease.
     Holding {
         fence: u64,
         end: u64,
@@ -95,75 +95,76 @@
     },
 }
 
-/// One daemon's part in the claim.
+/// One daemon's view of the planner lease.
 #[derive(Debug)]
 pub struct PlannerLease {
     settings: PlannerLeaseSettings,
-    me: String,
+    daemon: String,
     state: State,
-    /// The last renewal that was heard of by other means than the topic, by the end that the
-    /// topic had after it, and when it had begun.
-    heard: Option<(u64, Millis)>,
-    /// How many holders died one soon after the other, and when the last of them was succeeded.
-    deaths: Option<(u64, Millis)>,
-    acted: Option<Millis>,
-    busy: bool,
-    /// Whether the end must be read before the next append.
-    recheck: bool,
+    /// The last renewal that was received from other daemons rather than read from the topic: the
+    /// end of the topic after it, and the time at which it began.
+    last_renewal: Option<(u64, Millis)>,
+    /// The number of holders that failed in quick succession, and when the last of them was
+    /// succeeded.
+    failures: Option<(u64, Millis)>,
+    last_action: Option<Millis>,
+    in_flight: bool,
+    /// Whether the end of the topic must be read before the next append.
+    must_read: bool,
 }
 
-/// A time without a holder of the claim, as far as is known.
+/// An interval without a planner, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannerGap {
-    /// How long no renewal has been heard of.
+    /// The time since the last renewal.
     pub elapsed: Millis,
-    /// How long it takes until another daemon may hold the claim.
+    /// The time until another daemon may hold the lease.
     pub remaining: Millis,
-    /// How many holders died one soon after the other before this one.
+    /// The number of holders that failed in quick succession before this one.
     pub failures: u64,
-    /// How long it takes beyond that where as many more die.
+    /// The additional time if as many more fail.
     pub extra: Millis,
 }
 
-/// A renewal of the claim.
+/// A renewal of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannerLeaseRenewal {
-    /// Where the topic ended after it.
+    /// The end of the topic after it.
     pub end: u64,
-    /// When it began, by this daemon's clock.
+    /// The time at which it began, by this daemon's clock.
     pub started: Millis,
 }
 
-/// The topic is read once no renewal that was heard of began within so many milliseconds.
-const SILENT_MS: u64 = 1_300;
+/// The topic is read if no renewal that began within this time was received.
+const SILENCE_MS: u64 = 1_300;
 
-/// Callers are told that nobody plans once the last renewal that was heard of began so many milliseconds
-/// ago: two were missed, as the age of each is told with it.
-const MISSED_MS: u64 = 1_100;
+/// Callers are informed of a gap once the last received renewal began this long ago. Two renewals
+/// have then been missed, as the age of each is sent with it.
+const GAP_THRESHOLD_MS: u64 = 1_100;
 
-/// What ended a holder is taken to end its successor too where that dies within so many milliseconds.
-const SERIES_MS: u64 = 10_000;
+/// A holder that fails within this time after its predecessor is taken to fail for the same reason.
+const FAILURE_SERIES_MS: u64 = 10_000;
 
-/// No more deaths in a row are counted: few callers wait longer.
-const MOST_DEATHS: u64 = 2;
+/// No more failures in a row are counted, as few callers wait longer.
+const MAX_FAILURES: u64 = 2;
 
 impl PlannerLease {
-    /// A claim of a daemon whose name in this life is `me`.
+    /// Creates the lease state of a daemon; `daemon` is the name of this incarnation.
     #[must_use]
-    pub fn new(settings: PlannerLeaseSettings, me: String) -> Self {
+    pub fn new(settings: PlannerLeaseSettings, daemon: String) -> Self {
         Self {
             settings,
-            me,
+            daemon,
             state: State::Watching,
-            heard: None,
-            deaths: None,
-            acted: None,
-            busy: false,
-            recheck: false,
+            last_renewal: None,
+            failures: None,
+            last_action: None,
+            in_flight: false,
+            must_read: false,
         }
     }
 
-    /// The fencing token, while this daemon may order.
+    /// Returns the fencing token while this daemon may send orders.
     #[must_use]
     pub fn fence(&self, now: Millis) -> Option<u64> {
         match self.state {
@@ -174,52 +175,56 @@
         }
     }
 
-    /// How long an engine is left alone between the orders of two holders.
+    /// The time during which an engine gets no orders between those of two holders.
     #[must_use]
     pub fn cooldown(&self) -> Millis {
         self.settings.cooldown()
     }
 
-    /// Whether this daemon holds the claim, valid or not.
+    /// Whether this daemon holds the lease, even if it is no longer valid.
     #[must_use]
     pub fn is_holder(&self) -> bool {
         matches!(self.state, State::Holding { .. })
     }
 
-    /// Notes that a renewal was heard of, after which the topic ended at `end`, and which began at `began`
-    /// or before. A newer one spares reading the topic; one that was heard of before proves nothing.
-    pub fn on_renewal(&mut self, end: u64, began: Millis) {
-        if self.heard.is_some_and(|(known, _)| end <= known) {
+    /// Records a received renewal, after which the topic ended at `end`, and which began at
+    /// `started` or before. A newer renewal makes reading the topic unnecessary; one that is known
+    /// already proves nothing.
+    pub fn on_renewal(&mut self, end: u64, started: Millis) {
+        if self.last_renewal.is_some_and(|(known, _)| end <= known) {
             return;
         }
-        self.note_succession(began);
-        self.heard = Some((end, began));
+        self.record_succession(started);
+        self.last_renewal = Some((end, started));
         if matches!(self.state, State::Waiting { .. }) {
             self.state = State::Watching;
         }
     }
 
-    /// Notes that a renewal is heard of now; after a lease of silence it is that of a dead holder's
-    /// successor, as a planned stop takes far less.
-    fn note_succession(&mut self, now: Millis) {
-        let Some((_, last)) = self.heard else {
+    /// Records that a renewal is received now. After a lease time without one it is that of the
+    /// successor of a failed holder, since a planned stop takes far less.
+    fn record_succession(&mut self, now: Millis) {
+        let Some((_, last)) = self.last_renewal else {
             return;
         };
         if now.since(last) >= self.settings.lease.0 {
-            let deaths = 1 + self.deaths_before(last, now);
-            self.deaths = Some((deaths, now));
+            let failures = 1 + self.failures_before(last, now);
+            self.failures = Some((failures, now));
         }
     }
 
-    /// How many holders died one soon after the other before the one that is away now, where `last` is
-    /// when a renewal was heard of last. One that died before anybody heard of it left a longer silence.
-    fn deaths_before(&self, last: Millis, now: Millis) -> u64 {
-        let recent = self.deaths.filter(|(_, at)| last.since(*at) < SERIES_MS);
-        let unheard = now.since(last).saturating_sub(SILENT_MS) / self.settings.wait();
-        (recent.map_or(0, |(deaths, _)| deaths) + unheard).min(MOST_DEATHS)
+    /// The number of holders that failed in quick succession before the one that is missing now,
+    /// where `last` is the time of the last received renewal. A holder that failed before any
+    /// renewal of it was received left a longer gap.
+    fn failures_before(&self, last: Millis, now: Millis) -> u64 {
+        let recent = self
+            .failures
+            .filter(|(_, at)| last.since(*at) < FAILURE_SERIES_MS);
+        let unobserved = now.since(last).saturating_sub(SILENCE_MS) / self.settings.wait();
+        (recent.map_or(0, |(failures, _)| failures) + unobserved).min(MAX_FAILURES)
     }
 
-    /// This daemon's last renewal, to be told to the others.
+    /// This daemon's last renewal, to be sent to the others.
     #[must_use]
     pub fn renewal(&self) -> Option<PlannerLeaseRenewal> {
         match self.state {
@@ -233,82 +238,84 @@
         }
     }
 
-    /// The time without a holder, where none is heard of; none where one is, or where nothing was ever
-    /// heard.
+    /// Returns the current interval without a planner; none while a holder is known, or if no
+    /// renewal was ever received.
     #[must_use]
     pub fn gap(&self, now: Millis) -> Option<PlannerGap> {
-        let (_, at) = self.heard.filter(|_| self.fence(now).is_none())?;
-        let lasted = now.since(at);
-        // A successor reads the topic's end now and then.
-        let left = self.settings.wait().saturating_sub(lasted);
-        let failures = self.deaths_before(at, now);
-        (lasted >= MISSED_MS).then_some(PlannerGap {
-            elapsed: Millis(lasted),
-            remaining: Millis(left.max(self.settings.read_interval.0)),
+        let (_, at) = self.last_renewal.filter(|_| self.fence(now).is_none())?;
+        let elapsed = now.since(at);
+        // A successor reads the end of the topic at an interval.
+        let remaining = self.settings.wait().saturating_sub(elapsed);
+        let failures = self.failures_before(at, now);
+        (elapsed >= GAP_THRESHOLD_MS).then_some(PlannerGap {
+            elapsed: Millis(elapsed),
+            remaining: Millis(remaining.max(self.settings.read_interval.0)),
             failures,
             extra: Millis(failures * self.settings.wait()),
         })
     }
 
-    /// Notes that the holder said it gives the claim up: the topic is read at once.
+    /// Records that the holder announced the release of the lease: the topic is read at once.
     pub fn on_release(&mut self) {
         if !self.is_holder() {
-            self.recheck = true;
+            self.must_read = true;
         }
     }
 
-    /// Gives the claim up.
+    /// Gives up the lease.
     pub fn step_down(&mut self) {
         self.state = State::Watching;
-        self.heard = None;
+        self.last_renewal = None;
     }
 
-    /// What to do now, if anything. Each action is answered by one of the `on_` calls.
+    /// Returns the next action, if there is one. Each action is answered by one of the `on_` calls.
     pub fn tick(&mut self, now: Millis) -> Option<PlannerLeaseAction> {
-        if self.busy {
+        if self.in_flight {
             return None;
         }
-        let due = |every: u64, last: Option<Millis>| last.is_none_or(|l| now.since(l) >= every);
+        let due =
+            |interval: u64, last: Option<Millis>| last.is_none_or(|l| now.since(l) >= interval);
         let action = match self.state {
-            _ if self.recheck => Some(PlannerLeaseAction::Read),
+            _ if self.must_read => Some(PlannerLeaseAction::Read),
             State::Watching => {
-                let silent = due(SILENT_MS, self.heard.map(|(_, at)| at));
-                (silent && due(self.settings.read_interval.0, self.acted))
+                let silent = due(SILENCE_MS, self.last_renewal.map(|(_, at)| at));
+                (silent && due(self.settings.read_interval.0, self.last_action))
                     .then_some(PlannerLeaseAction::Read)
             }
             State::Waiting { end, since, wait } if now.since(since) >= wait => {
-                self.state = State::Claiming { end, began: now };
+                self.state = State::Acquiring { end, started: now };
                 Some(PlannerLeaseAction::Append { end, fence: None })
             }
-            State::Waiting { .. } => {
-                due(self.settings.read_interval.0, self.acted).then_some(PlannerLeaseAction::Read)
+            State::Waiting { .. } => due(self.settings.read_interval.0, self.last_action)
+                .then_some(PlannerLeaseAction::Read),
+            State::Acquiring { .. } => due(self.settings.read_interval.0, self.last_action)
+                .then_some(PlannerLeaseAction::Read),
+            State::Holding { end, fence, .. } => {
+                due(self.settings.renew_interval.0, self.last_action).then_some(
+                    PlannerLeaseAction::Append {
+                        end,
+                        fence: Some(fence),
+                    },
+                )
             }
-            State::Claiming { .. } => {
-                due(self.settings.read_interval.0, self.acted).then_some(PlannerLeaseAction::Read)
-            }
-            State::Holding { end, fence, .. } => due(self.settings.renew_interval.0, self.acted)
-                .then_some(PlannerLeaseAction::Append {
-                    end,
-                    fence: Some(fence),
-                }),
         };
         if action.is_some() {
-            self.busy = true;
-            self.acted = Some(now);
+            self.in_flight = true;
+            self.last_action = Some(now);
         }
         action
     }
 
-    /// The topic was read.
+    /// Handles a read of the topic.
     pub fn on_read(&mut self, view: &PlannerLeaseView, now: Millis) {
-        self.busy = false;
-        self.recheck = false;
-        let mine = view.holder.as_deref() == Some(self.me.as_str()) && !view.released;
+        self.in_flight = false;
+        self.must_read = false;
+        let mine = view.holder.as_deref() == Some(self.daemon.as_str()) && !view.released;
         match self.state {
             // An append without an answer was done after all.
-            State::Claiming { end, began } if mine && view.end == end + 1 => {
-                // The others count from the append, however late it is found.
-                self.hold(end, view.end, began);
+            State::Acquiring { end, started } if mine && view.end == end + 1 => {
+                // Other daemons count from the append, however late this one learns of it.
+                self.hold(end, view.end, started);
             }
             State::Holding {
                 fence, valid_from, ..
@@ -321,10 +328,10 @@
             }
             State::Waiting { end, .. } if end == view.end => {}
             _ => {
-                // The newest renewal began before it was heard of, or else before the end
-                // of this read.
-                let heard = self.heard.filter(|(end, _)| *end == view.end);
-                let since = heard.map_or(now, |(_, at)| at);
+                // The newest renewal began before it was received, or else before the end of this
+                // read.
+                let last_renewal = self.last_renewal.filter(|(end, _)| *end == view.end);
+                let since = last_renewal.map_or(now, |(_, at)| at);
                 let wait = match (&view.holder, view.released) {
                     (None, _) => 0,
                     (_, true) if view.has_handover => 0,
@@ -340,11 +347,11 @@
         }
     }
 
-    /// An append was done; its record has this offset.
+    /// Handles an append that was done; its record has this offset.
     pub fn on_appended(&mut self, offset: u64, started: Millis) {
-        self.busy = false;
+        self.in_flight = false;
         match self.state {
-            State::Claiming { .. } => self.hold(offset, offset + 1, started),
+            State::Acquiring { .. } => self.hold(offset, offset + 1, started),
             State::Holding { fence, .. } => {
                 self.state = State::Holding {
                     fence,
@@ -365,18 +372,18 @@
         };
     }
 
-    /// An append found the topic's end elsewhere: somebody appended, maybe this daemon
-    /// itself by a call that got no answer. The topic is read before anything else.
+    /// Handles an append that found a different end of the topic: another daemon has appended, or
+    /// this one by a call without an answer. The topic is read before the next append.
     pub fn on_conflict(&mut self) {
-        self.busy = false;
-        self.recheck = true;
+        self.in_flight = false;
+        self.must_read = true;
         if !self.is_holder() {
             self.state = State::Watching;
         }
     }
 
-    /// A call failed. An append may have been done all the same.
+    /// Handles a failed call. An append may have been done all the same.
     pub fn on_failed(&mut self) {
-        self.busy = false;
+        self.in_flight = false;
     }
 }
--- a/crates/fleet/src/services.rs
+++ b/crates/fleet/src/services.rs
@@ -1,19 +1,20 @@
-//! The plans of several services, each with a memory of its own.
+//! Keeps a separate planner for each service.
 
 use crate::{LoadWindow, Order, PlanNote, PlanView, Planner};
 use shaleline_types::{Millis, Service};
 use std::collections::BTreeMap;
 
-/// One [`Planner`] for each service. What a planner remembers (engines that left, models that
-/// are away, room that is being made) is about the engines it is shown: with one for all
-/// services each plan would take the engines of the others for engines that left.
+/// One [`Planner`] for each service. The state of a planner (engines that left, models without a
+/// replica, reservations) is about the engines of its plans: a planner shared by all services would
+/// take the engines of the other services for engines that left.
 #[derive(Debug, Default)]
 pub struct ServicePlanners {
     planners: BTreeMap<Service, Planner>,
 }
 
 impl ServicePlanners {
-    /// The orders to give now to the engines of a service, and what was decided and why.
+    /// Returns the orders to send now to the engines of a service, and the decisions with their
+    /// reasons.
     #[must_use]
     pub fn plan(
         &mut self,
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,40 +1,40 @@
-//! What one plan looks at: engines and models by number, and who holds what.
+//! The input of one plan: engines and models by number, and which engine holds what.
 
-use crate::engine_summary::{Row, Rows};
-use crate::model_index::Numbers;
+use crate::engine_summary::{EngineSummaries, EngineSummary};
+use crate::model_index::ModelIndex;
 use crate::{Catalog, Engine, ModelProfile, PlanView, Rate};
 use shaleline_types::{Millis, Model, Upstream};
 
 /// A model with less work a second than this, in milliseconds, is idle.
 const IDLE_WORK: f32 = 0.5;
 
-/// An engine that counts, neither leaving nor down.
+/// An engine that is available: neither leaving nor down.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Place<'a> {
+pub(crate) struct EngineView<'a> {
     pub(crate) name: &'a Upstream,
     pub(crate) engine: &'a Engine,
-    pub(crate) row: &'a Row,
-    /// How long it is left alone after another planner's order.
-    pub(crate) rest: Millis,
+    pub(crate) summary: &'a EngineSummary,
+    /// The time for which it gets no orders, after one of another planner.
+    pub(crate) cooldown: Millis,
 }
 
-/// The fleet as one plan sees it. Models have the numbers of [`Numbers`], engines their place
-/// among those that count.
+/// The fleet as seen by one plan. Models are numbered by [`ModelIndex`], engines by their position
+/// among the available ones.
 pub(crate) struct Snapshot<'a> {
     pub(crate) view: &'a PlanView<'a>,
     pub(crate) catalog: &'a Catalog,
-    pub(crate) numbers: &'a Numbers,
+    pub(crate) model_index: &'a ModelIndex,
     pub(crate) models: Vec<(&'a Model, &'a ModelProfile)>,
-    pub(crate) places: Vec<Place<'a>>,
-    /// What is asked for of each model, adapters together.
-    pub(crate) asked: Vec<Rate>,
-    /// How often each model was asked for in vain, adapters together.
+    pub(crate) engines: Vec<EngineView<'a>>,
+    /// The request rate of each model, including its adapters.
+    pub(crate) rates: Vec<Rate>,
+    /// The number of unserved attempts for each model, including its adapters.
     unmet: Vec<u32>,
-    /// The places that serve each model.
-    pub(crate) served: Vec<Vec<usize>>,
-    /// How many places are getting each model.
-    coming: Vec<usize>,
-    /// How many places have a copy of each model, from which it is loaded within a few seconds.
+    /// The engines that serve each model.
+    pub(crate) servers: Vec<Vec<usize>>,
+    /// The number of engines that are loading each model.
+    loading: Vec<usize>,
+    /// The number of engines with a copy of each model, from which it loads within a few seconds.
     copies: Vec<usize>,
     pub(crate) now: Millis,
 }
@@ -42,35 +42,35 @@
 impl<'a> Snapshot<'a> {
     pub(crate) fn new(
         view: &'a PlanView<'a>,
-        numbers: &'a Numbers,
-        rows: &'a Rows,
+        model_index: &'a ModelIndex,
+        summaries: &'a EngineSummaries,
         now: Millis,
     ) -> Self {
         let (catalog, fleet) = (view.catalog, view.fleet);
-        let rest = |name: &Upstream| {
+        let cooldown = |name: &Upstream| {
             let until = view.cooldowns.get(name);
             Millis(until.map_or(0, |u| u.since(now)))
         };
-        let engines = fleet.iter().zip(rows.iter());
-        let places = engines.filter(|((_, engine), _)| engine.counts());
-        let places = places.map(|((name, engine), row)| Place {
+        let engines = fleet.iter().zip(summaries.iter());
+        let engines = engines.filter(|((_, engine), _)| engine.is_available());
+        let engines = engines.map(|((name, engine), summary)| EngineView {
             name,
             engine,
-            row,
-            rest: rest(name),
+            summary,
+            cooldown: cooldown(name),
         });
         let models: Vec<_> = catalog.models.iter().collect();
         let count = models.len();
         let mut snapshot = Self {
             view,
             catalog,
-            numbers,
+            model_index,
             models,
-            places: places.collect(),
-            asked: vec![Rate::default(); count],
+            engines: engines.collect(),
+            rates: vec![Rate::default(); count],
             unmet: vec![0; count],
-            served: vec![Vec::new(); count],
-            coming: vec![0; count],
+            servers: vec![Vec::new(); count],
+            loading: vec![0; count],
             copies: vec![0; count],
             now,
         };
@@ -78,61 +78,61 @@
         snapshot
     }
 
-    /// Notes who holds what, and what is asked for.
+    /// Builds the lists by model from the engines, the rates and the unmet demand.
     fn index(&mut self) {
-        for (number, place) in self.places.iter().enumerate() {
-            for model in &place.row.serving {
-                self.served[*model].push(number);
+        for (number, entry) in self.engines.iter().enumerate() {
+            for model in &entry.summary.serving {
+                self.servers[*model].push(number);
             }
-            for model in &place.row.loading {
-                self.coming[*model] += 1;
+            for model in &entry.summary.loading {
+                self.loading[*model] += 1;
             }
-            for model in place.row.copied() {
+            for model in entry.summary.copied() {
                 self.copies[model] += 1;
             }
         }
         for ((model, _), rate) in self.view.rates {
-            if let Some(number) = self.numbers.get(model) {
-                self.asked[number].add(*rate);
+            if let Some(number) = self.model_index.get(model) {
+                self.rates[number].add(*rate);
             }
         }
         for ((model, _), unmet) in self.view.unmet {
-            if let Some(number) = self.numbers.get(model) {
+            if let Some(number) = self.model_index.get(model) {
                 self.unmet[number] += unmet.attempts;
             }
         }
     }
 
-    /// How many engines serve the model, or will soon.
+    /// The number of engines that serve the model, or will soon.
     pub(crate) fn replicas(&self, model: usize) -> usize {
-        self.served[model].len() + self.coming[model]
+        self.servers[model].len() + self.loading[model]
     }
 
-    /// Whether an engine is getting the model.
-    pub(crate) fn is_coming(&self, model: usize) -> bool {
-        self.coming[model] > 0
+    /// Whether an engine is loading the model.
+    pub(crate) fn is_loading(&self, model: usize) -> bool {
+        self.loading[model] > 0
     }
 
-    /// How many engines have a copy from which the model is loaded within a few seconds.
+    /// The number of engines with a copy from which the model loads within a few seconds.
     pub(crate) fn copies(&self, model: usize) -> usize {
         self.copies[model]
     }
 
-    /// Whether nobody has asked for the model for some seconds, and nobody has in vain.
+    /// Whether the model has had neither requests nor unmet demand for some seconds.
     pub(crate) fn is_idle(&self, model: usize) -> bool {
-        self.asked[model].work <= IDLE_WORK && self.unmet(model) == 0
+        self.rates[model].work <= IDLE_WORK && self.unmet(model) == 0
     }
 
-    /// How often the model was asked for in vain, as daemons say; none where an engine serves it.
+    /// The number of unserved attempts for the model that daemons report; 0 if an engine serves it.
     pub(crate) fn unmet(&self, model: usize) -> u32 {
-        match self.served[model].is_empty() {
+        match self.servers[model].is_empty() {
             true => self.unmet[model],
             false => 0,
         }
     }
 
-    /// How many engines are at work on dropping a model.
-    pub(crate) fn dropping(&self) -> usize {
-        self.places.iter().filter(|p| p.row.dropping).count()
+    /// The number of engines that are unloading a model.
+    pub(crate) fn unloading(&self) -> usize {
+        self.engines.iter().filter(|p| p.summary.unloading).count()
     }
 }
--- a/crates/fleet/src/unmet.rs
+++ b/crates/fleet/src/unmet.rs
@@ -1,40 +1,40 @@
-//! What callers asked for in vain, until it is served.
+//! Requests that no engine could serve, recorded until they are served.
 //!
-//! A rate fades within seconds, and with it who asked for a model or adapter that no engine could be
-//! ordered to load just then. What is unmet does not fade: whoever saw a caller go away empty-handed
-//! says so again and again, to whichever daemon plans, and the one that waits longest comes first.
+//! A request rate decays within seconds, and so do the requests for a model or adapter that no
+//! engine could be ordered to load at that time. Unmet demand does not decay: the daemon that
+//! refused a caller reports it repeatedly to the current planner, and the longest wait comes first.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Adapter, Millis, Model};
 use std::collections::BTreeMap;
 
-/// Nobody comes back after so long without an attempt: what was asked for is given up.
-const FORGET_MS: u64 = 30_000;
+/// Unmet demand expires after this time without an attempt: its callers do not retry any more.
+const EXPIRY_MS: u64 = 30_000;
 
-/// So many callers of one adapter who come back are told apart; a rare one has few.
-const MOST_BACKS: usize = 8;
+/// The maximum number of retries that are kept for one adapter; a rarely requested one has few
+/// callers.
+const MAX_RETRIES: usize = 8;
 
-/// A model, and an adapter of it where one is asked for.
+/// A model, and an adapter of it if one is requested.
 type Key = (Model, Option<Adapter>);
 
-/// How long callers have asked for something in vain, and how often.
+/// The duration and the number of attempts of unmet demand for one model or adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unmet {
-    /// The time since the first of them, in milliseconds.
+    /// The time since the first attempt, in milliseconds.
     pub waited: u32,
-    /// The time since the last, in milliseconds.
+    /// The time since the last attempt, in milliseconds.
     pub last_age: u32,
-    /// Their attempts; none where one was served since and others are told to come back.
+    /// The number of attempts; 0 if one was served since and other callers are still to retry.
     pub attempts: u32,
-    /// The time until the first of those that were told to comes back, in milliseconds; 0 where all are
-    /// back.
+    /// The time until the first expected retry, in milliseconds; 0 if none is expected.
     pub next_retry: u32,
-    /// The same for the last of them.
+    /// The time until the last expected retry, in milliseconds; 0 if none is expected.
     pub last_retry: u32,
 }
 
 impl Unmet {
-    /// Adds what was asked for in vain elsewhere.
+    /// Adds the unmet demand at another daemon.
     pub fn add(&mut self, other: Self) {
         self.waited = self.waited.max(other.waited);
         self.last_age = self.last_age.min(other.last_age);
@@ -46,7 +46,7 @@
         self.last_retry = self.last_retry.max(other.last_retry);
     }
 
-    /// The same as of `age` milliseconds later: what is passed on has grown old meanwhile.
+    /// Returns the same demand as of `age` milliseconds later, since it ages while it is forwarded.
     #[must_use]
     pub fn aged(self, age: u32) -> Self {
         Self {
@@ -59,91 +59,94 @@
     }
 }
 
-/// What is unmet of each model and adapter.
+/// The unmet demand for each model and adapter.
 pub type UnmetByKey = BTreeMap<Key, Unmet>;
 
 #[derive(Debug, Clone)]
-struct Vain {
-    first: Millis,
+struct UnmetRecord {
+    since: Millis,
     last: Millis,
-    tries: u32,
-    /// When those come back who have not yet, the first one first.
-    backs: Vec<Millis>,
+    attempts: u32,
+    /// The expected times of retries, in ascending order.
+    retries: Vec<Millis>,
 }
 
-impl Vain {
-    /// Notes when a caller comes back. Of too many the first ones and the last are kept.
-    fn note_back(&mut self, back: Millis, now: Millis) {
-        self.backs.retain(|b| *b > now);
-        let at = self.backs.partition_point(|b| *b <= back);
-        self.backs.insert(at, back);
-        if self.backs.len() > MOST_BACKS {
-            self.backs.remove(MOST_BACKS - 1);
+impl UnmetRecord {
+    /// Records when a caller will retry. If there are too many, the first ones and the last are
+    /// kept.
+    fn record_retry(&mut self, retry_at: Millis, now: Millis) {
+        self.retries.retain(|b| *b > now);
+        let at = self.retries.partition_point(|b| *b <= retry_at);
+        self.retries.insert(at, retry_at);
+        if self.retries.len() > MAX_RETRIES {
+            self.retries.remove(MAX_RETRIES - 1);
         }
     }
 
-    /// The time until a caller comes back, in milliseconds; the first one first.
-    fn backs(&self, now: Millis) -> impl DoubleEndedIterator<Item = u64> + '_ {
-        self.backs
+    /// The times until the expected retries in milliseconds, in ascending order.
+    fn retries(&self, now: Millis) -> impl DoubleEndedIterator<Item = u64> + '_ {
+        self.retries
             .iter()
             .map(move |b| b.since(now))
             .filter(|b| *b > 0)
     }
 }
 
-/// What the callers of one daemon asked for in vain.
+/// The unmet demand at one daemon.
 #[derive(Debug, Default)]
 pub struct UnmetDemand {
-    keys: BTreeMap<Key, Vain>,
+    keys: BTreeMap<Key, UnmetRecord>,
 }
 
 impl UnmetDemand {
-    /// Notes that a caller went away empty-handed, as no engine served what it asked for, and after which
-    /// time it was told to come back.
+    /// Records that a caller was refused since no engine served its model or adapter, and the
+    /// retry-after time that it was given.
     pub fn record(&mut self, model: &Model, adapter: Option<&Adapter>, retry: Millis, now: Millis) {
         let key = (model.clone(), adapter.cloned());
-        let vain = self.keys.entry(key).or_insert(Vain {
-            first: now,
+        let record = self.keys.entry(key).or_insert(UnmetRecord {
+            since: now,
             last: now,
-            tries: 0,
-            backs: Vec::new(),
+            attempts: 0,
+            retries: Vec::new(),
         });
-        vain.last = now;
-        vain.tries += 1;
-        vain.note_back(now.plus(retry.0), now);
+        record.last = now;
+        record.attempts += 1;
+        record.record_retry(now.plus(retry.0), now);
     }
 
-    /// Notes that a caller was served. Others who were told to come back still do.
+    /// Records that a caller was served. Other callers with a retry-after time still retry.
     pub fn on_served(&mut self, model: &Model, adapter: Option<&Adapter>, now: Millis) {
         if self.keys.is_empty() {
             return;
         }
         let key = (model.clone(), adapter.cloned());
-        if let Some(vain) = self.keys.get_mut(&key) {
-            vain.first = now;
-            vain.tries = 0;
-            if vain.backs(now).next().is_none() {
+        if let Some(record) = self.keys.get_mut(&key) {
+            record.since = now;
+            record.attempts = 0;
+            if record.retries(now).next().is_none() {
                 self.keys.remove(&key);
             }
         }
     }
 
-    /// What is unmet, at most so many keys: those that wait longest.
-    pub fn longest(&mut self, most: usize, now: Millis) -> Vec<(&Model, Option<&Adapter>, Unmet)> {
-        self.keys.retain(|_, v| now.since(v.last) < FORGET_MS);
-        let mut all: Vec<(&Key, &Vain)> = self.keys.iter().collect();
-        all.sort_by_key(|(_, v)| v.first);
-        all.truncate(most);
+    /// Returns the unmet demand with the longest waits, at most `limit` keys.
+    pub fn longest(&mut self, limit: usize, now: Millis) -> Vec<(&Model, Option<&Adapter>, Unmet)> {
+        self.keys.retain(|_, v| now.since(v.last) < EXPIRY_MS);
+        let mut all: Vec<(&Key, &UnmetRecord)> = self.keys.iter().collect();
+        all.sort_by_key(|(_, v)| v.since);
+        all.truncate(limit);
         let millis = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
         let age = |at: Millis| millis(now.since(at));
-        let unmet = |v: &Vain| Unmet {
-            waited: age(v.first),
+        let unmet = |v: &UnmetRecord| Unmet {
+            waited: age(v.since),
             last_age: age(v.last),
-            attempts: v.tries,
-            next_retry: millis(v.backs(now).next().unwrap_or(0)),
-            last_retry: millis(v.backs(now).next_back().unwrap_or(0)),
+            attempts: v.attempts,
+            next_retry: millis(v.retries(now).next().unwrap_or(0)),
+            last_retry: millis(v.retries(now).next_back().unwrap_or(0)),
         };
-        let told = all.into_iter();
-        told.map(|((m, a), v)| (m, a.as_ref(), unmet(v))).collect()
+        let entries = all.into_iter();
+        entries
+            .map(|((m, a), v)| (m, a.as_ref(), unmet(v)))
+            .collect()
     }
 }
--- a/crates/fleet/src/waits.rs
+++ b/crates/fleet/src/waits.rs
@@ -1,4 +1,4 @@
-//! How long callers have waited for what no engine holds, as a planner sees it.
+//! Tracks how long callers have waited for adapters that no engine holds, as seen by a planner.
 
 use crate::adapters::AdapterCopies;
 use crate::draft::Draft;
@@ -7,87 +7,89 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A caller comes back so much later than it was told to at the most.
-const LATE_MS: u64 = 250;
+/// A caller retries at most this much after its retry-after time.
+const RETRY_LATE_MS: u64 = 250;
 
-/// A caller's adapter may take the place of another so long before the caller comes back: to drop one
-/// and to load one takes two orders, which wait for others.
-const LEAD_MS: u64 = 600;
+/// An adapter may evict another this long before a caller retries: unloading one and loading the
+/// other takes two orders, which may wait for others.
+const RETRY_LEAD_MS: u64 = 600;
 
-/// Two times to come back of one adapter that are closer than this are taken for one.
-const SAME_MS: u64 = 100;
+/// Two retry times of one adapter that differ by less than this are taken for the same retry.
+const SAME_RETRY_MS: u64 = 100;
 
-/// An adapter that was loaded for a wait stays for its next caller no longer than this: others wait too.
-const MOST_KEPT_MS: u64 = 2_000;
+/// An adapter that was loaded for a wait is retained for its next caller no longer than this, as
+/// others wait too.
+const MAX_RETENTION_MS: u64 = 2_000;
 
-/// Where nobody may plan when a caller comes back, an adapter is loaded for it no earlier than this.
-const AHEAD_MS: u64 = 5_000;
+/// If there may be no planner when a caller retries, an adapter is loaded for it at most this
+/// early.
+const GAP_LEAD_MS: u64 = 5_000;
 
-/// The longest waits are told of so often, so many at a time.
-const TELL_MS: u64 = 2_000;
-const MOST_TOLD: usize = 8;
+/// The longest waits are reported at this interval, at most this many at a time.
+const REPORT_INTERVAL_MS: u64 = 2_000;
+const MAX_REPORTED: usize = 8;
 
-/// What nobody asked for in so long is forgotten.
-const FORGET_MS: u64 = 30_000;
+/// An adapter without requests for this time is forgotten.
+const EXPIRY_MS: u64 = 30_000;
 
-/// A model, and an adapter of it where one is asked for.
+/// A model, and an adapter of it if one is requested.
 type Key = (Model, Option<Adapter>);
 
-/// Callers that wait for what no engine holds.
+/// A wait for an adapter that no engine holds.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Wait {
-    /// The time since the first of them came in vain, in milliseconds.
+    /// The time since the first unserved request, in milliseconds.
     pub(crate) waited: u64,
-    /// Whether any was refused; else it is only asked for as its rate tells.
+    /// Whether a request was refused; if not, the wait is known only by the request rate.
     pub(crate) refused: bool,
-    /// Whether one is about to come back.
+    /// Whether a caller is about to retry.
     pub(crate) due: bool,
-    /// Whether one comes back within some seconds, when nobody may plan.
+    /// Whether a caller retries within some seconds, when there may be no planner.
     pub(crate) soon: bool,
 }
 
-/// The adapters that callers wait for, as one plan sees them.
+/// The adapters that callers wait for, as seen by one plan.
 #[derive(Debug, Default)]
-pub(crate) struct Waiting<'a> {
-    /// Those that are nowhere.
-    pub(crate) nowhere: BTreeMap<&'a Key, Wait>,
-    /// Those for which a caller is about to come back, wherever they are.
+pub(crate) struct AdapterWaits<'a> {
+    /// Those that no engine holds.
+    pub(crate) unserved: BTreeMap<&'a Key, Wait>,
+    /// Those with a caller about to retry, held or not.
     pub(crate) due: BTreeSet<(&'a Model, &'a Adapter)>,
-    /// Those that were loaded for a wait and whose next caller may still come.
-    pub(crate) kept: BTreeSet<(&'a Model, &'a Adapter)>,
+    /// Those that were loaded for a wait and whose next caller may still retry.
+    pub(crate) retained: BTreeSet<(&'a Model, &'a Adapter)>,
 }
 
 #[derive(Debug, Clone)]
-struct Known {
-    /// When the first caller came in vain, where any did since it was held last.
-    first: Option<Millis>,
-    asked: Millis,
-    held: Millis,
-    /// When callers that were refused come back.
-    backs: Vec<Millis>,
-    /// The mean time between two callers in vain, while it is nowhere.
-    pause: u64,
-    /// Until when it stays for its next caller, where it was loaded for a wait.
-    keep: Millis,
+struct WaitRecord {
+    /// The time of the first unserved request since the adapter was last held, if there was any.
+    waiting_since: Option<Millis>,
+    last_demand: Millis,
+    last_held: Millis,
+    /// The expected retries of refused callers.
+    retries: Vec<Millis>,
+    /// The mean interval between two unserved requests, while no engine holds it.
+    retry_interval: u64,
+    /// The time until which it is retained for its next caller, if it was loaded for a wait.
+    retained_until: Millis,
 }
 
-/// What a planner remembers of the adapters that callers ask for.
+/// What a planner remembers of the adapters that callers request.
 #[derive(Debug, Default)]
-pub(crate) struct Waits {
-    known: BTreeMap<Key, Known>,
-    told: Millis,
+pub(crate) struct WaitTracker {
+    known: BTreeMap<Key, WaitRecord>,
+    reported: Millis,
 }
 
-impl Waits {
-    /// Takes in what a plan sees.
+impl WaitTracker {
+    /// Updates the waits from the input of a plan.
     pub(crate) fn observe<'a>(
         &mut self,
         view: &PlanView<'a>,
         copies: &AdapterCopies<'a>,
         now: Millis,
-    ) -> Waiting<'a> {
+    ) -> AdapterWaits<'a> {
         let unrated = view.unmet.keys().filter(|k| !view.rates.contains_key(k));
-        let mut waiting = Waiting::default();
+        let mut waiting = AdapterWaits::default();
         for key in view.rates.keys().chain(unrated) {
             let Some(adapter) = &key.1 else {
                 continue;
@@ -95,70 +97,70 @@
             let held = copies.contains_key(&(&key.0, adapter));
             let unmet = view.unmet.get(key);
             let rated = view.rates.contains_key(key);
-            let known = self.known.entry(key.clone()).or_insert(Known {
-                first: None,
-                asked: now,
-                held: Millis(0),
-                backs: Vec::new(),
-                pause: 0,
-                keep: Millis(0),
+            let known = self.known.entry(key.clone()).or_insert(WaitRecord {
+                waiting_since: None,
+                last_demand: now,
+                last_held: Millis(0),
+                retries: Vec::new(),
+                retry_interval: 0,
+                retained_until: Millis(0),
             });
-            known.note_backs(unmet.copied(), now);
+            known.record_retries(unmet.copied(), now);
             if held {
-                known.note_held(now);
-                if now < known.keep || (view.after_failure && known.is_soon(now)) {
-                    waiting.kept.insert((&key.0, adapter));
+                known.record_held(now);
+                if now < known.retained_until || (view.after_failure && known.is_soon(now)) {
+                    waiting.retained.insert((&key.0, adapter));
                 }
             }
-            if rated || unmet.is_some_and(|u| known.concerns(*u, now)) {
-                known.asked = now;
+            if rated || unmet.is_some_and(|u| known.has_new_refusal(*u, now)) {
+                known.last_demand = now;
             }
             let due = known.is_due(now);
             if due {
                 waiting.due.insert((&key.0, adapter));
             }
             if !held {
-                let refused = unmet.is_some_and(|u| known.concerns(*u, now));
+                let refused = unmet.is_some_and(|u| known.has_new_refusal(*u, now));
                 let soon = view.after_failure && known.is_soon(now);
-                let told = unmet.copied().filter(|_| refused || due || soon);
-                let waited = known.waited(told, rated, now);
+                let reported = unmet.copied().filter(|_| refused || due || soon);
+                let waited = known.waited(reported, rated, now);
                 let wait = |waited| Wait {
                     waited,
                     refused,
                     due,
                     soon,
                 };
-                waiting.nowhere.extend(waited.map(|w| (key, wait(w))));
+                waiting.unserved.extend(waited.map(|w| (key, wait(w))));
             }
         }
-        let is_asked = |known: &Known| now.since(known.asked) < FORGET_MS;
+        let is_asked = |known: &WaitRecord| now.since(known.last_demand) < EXPIRY_MS;
         self.known.retain(|_, known| is_asked(known));
         waiting
     }
 
-    /// The longest waits that a plan leaves, and why, now and then.
-    pub(crate) fn tell(&mut self, draft: &Draft<'_>) -> Vec<PlanNote> {
+    /// Returns the longest waits that the plan leaves, with the reason, at a limited rate.
+    pub(crate) fn report(&mut self, draft: &Draft<'_>) -> Vec<PlanNote> {
         let now = draft.snapshot.now;
-        if now.since(self.told) < TELL_MS || draft.waiting.nowhere.is_empty() {
+        if now.since(self.reported) < REPORT_INTERVAL_MS || draft.waiting.unserved.is_empty() {
             return Vec::new();
         }
-        self.told = now;
-        let nowhere = draft.waiting.nowhere.iter();
-        let mut waits: Vec<(&Key, Wait)> = nowhere.map(|(k, w)| (*k, *w)).collect();
+        self.reported = now;
+        let unserved = draft.waiting.unserved.iter();
+        let mut waits: Vec<(&Key, Wait)> = unserved.map(|(k, w)| (*k, *w)).collect();
         waits.sort_by_key(|(_, w)| Reverse(w.waited));
-        let longest = waits.into_iter().take(MOST_TOLD);
-        longest.filter_map(|(k, w)| note_of(draft, k, w)).collect()
+        let longest = waits.into_iter().take(MAX_REPORTED);
+        longest.filter_map(|(k, w)| to_note(draft, k, w)).collect()
     }
 }
 
-fn note_of(draft: &Draft<'_>, key: &Key, wait: Wait) -> Option<PlanNote> {
+fn to_note(draft: &Draft<'_>, key: &Key, wait: Wait) -> Option<PlanNote> {
     let snapshot = draft.snapshot;
     let adapter = key.1.as_ref()?;
-    let serving = &snapshot.served[snapshot.numbers.get(&key.0)?];
+    let serving = &snapshot.servers[snapshot.model_index.get(&key.0)?];
     let about = |o: &Order| o.model == key.0 && o.adapter.as_ref() == Some(adapter);
     let ready = |p: &usize| {
-        let site = snapshot.places[*p];
-        site.row.takes_orders && site.rest == Millis(0)
+        let entry = snapshot.engines[*p];
+        entry.summary.takes_orders && entry.cooldown == Millis(0)
     };
     let why = if draft.orders.iter().any(about) {
         WaitReason::Ordered
@@ -179,53 +181,58 @@
     })
 }
 
-impl Known {
-    /// Whether somebody asked in vain after it was held last.
-    fn concerns(&self, unmet: Unmet, now: Millis) -> bool {
-        unmet.attempts > 0 && now.since(self.held) > u64::from(unmet.last_age)
+impl WaitRecord {
+    /// Whether a caller was refused after the adapter was last held.
+    fn has_new_refusal(&self, unmet: Unmet, now: Millis) -> bool {
+        unmet.attempts > 0 && now.since(self.last_held) > u64::from(unmet.last_age)
     }
 
-    /// Notes when callers come back. What is told again of one differs by what datagrams take.
-    fn note_backs(&mut self, unmet: Option<Unmet>, now: Millis) {
-        self.backs.retain(|at| now.since(*at) < LATE_MS);
-        let told = unmet.into_iter().flat_map(|u| [u.next_retry, u.last_retry]);
-        for at in told.filter(|t| *t > 0).map(|t| now.plus(u64::from(t))) {
-            let is_same = |known: &Millis| known.since(at).max(at.since(*known)) < SAME_MS;
-            if !self.backs.iter().any(is_same) {
-                self.backs.push(at);
+    /// Records when callers will retry. Repeated reports of one retry differ by the latency of the
+    /// datagrams.
+    fn record_retries(&mut self, unmet: Option<Unmet>, now: Millis) {
+        self.retries.retain(|at| now.since(*at) < RETRY_LATE_MS);
+        let reported = unmet.into_iter().flat_map(|u| [u.next_retry, u.last_retry]);
+        for at in reported.filter(|t| *t > 0).map(|t| now.plus(u64::from(t))) {
+            let is_same = |known: &Millis| known.since(at).max(at.since(*known)) < SAME_RETRY_MS;
+            if !self.retries.iter().any(is_same) {
+                self.retries.push(at);
             }
         }
     }
 
-    /// Whether a caller that was refused is about to come back.
+    /// Whether a refused caller is about to retry.
     fn is_due(&self, now: Millis) -> bool {
-        let is_near = |at: Millis| now.since(at) < LATE_MS && at.since(now) < LEAD_MS;
-        self.backs.iter().copied().any(is_near)
+        let is_near = |at: Millis| now.since(at) < RETRY_LATE_MS && at.since(now) < RETRY_LEAD_MS;
+        self.retries.iter().copied().any(is_near)
     }
 
-    /// Whether one comes back within some seconds.
+    /// Whether a caller retries within some seconds.
     fn is_soon(&self, now: Millis) -> bool {
-        let is_soon = |at: &Millis| *at > now && at.since(now) < AHEAD_MS;
-        self.backs.iter().any(is_soon)
+        let is_soon = |at: &Millis| *at > now && at.since(now) < GAP_LEAD_MS;
+        self.retries.iter().any(is_soon)
     }
 
-    /// Notes that an engine holds it. One that was waited for stays until its next caller can be expected.
-    fn note_held(&mut self, now: Millis) {
-        self.held = now;
-        if self.first.take().is_some() {
-            self.keep = now.plus(self.pause.min(MOST_KEPT_MS));
+    /// Records that an engine holds the adapter. One that was waited for is retained until its next
+    /// caller can be expected.
+    fn record_held(&mut self, now: Millis) {
+        self.last_held = now;
+        if self.waiting_since.take().is_some() {
+            self.retained_until = now.plus(self.retry_interval.min(MAX_RETENTION_MS));
         }
     }
 
-    /// How long callers have waited, in milliseconds; none where nobody did.
+    /// Returns how long callers have waited, in milliseconds, if any did.
     fn waited(&mut self, unmet: Option<Unmet>, rated: bool, now: Millis) -> Option<u64> {
-        let told = unmet.map(|u| Millis(now.0.saturating_sub(u64::from(u.waited))));
+        let reported = unmet.map(|u| Millis(now.0.saturating_sub(u64::from(u.waited))));
         let seen = rated.then_some(now);
-        let first = [self.first, told, seen].into_iter().flatten().min()?;
-        let first = first.max(self.held);
-        self.first = Some(first);
-        let waited = now.since(first);
-        self.pause = unmet.map_or(0, |u| waited / u64::from(u.attempts.max(1)));
+        let waiting_since = [self.waiting_since, reported, seen]
+            .into_iter()
+            .flatten()
+            .min()?;
+        let waiting_since = waiting_since.max(self.last_held);
+        self.waiting_since = Some(waiting_since);
+        let waited = now.since(waiting_since);
+        self.retry_interval = unmet.map_or(0, |u| waited / u64::from(u.attempts.max(1)));
         Some(waited)
     }
 }
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -81,7 +81,7 @@
     gw.with_fleet(&order.engine, |f| f.record_reply(order, reply, gw.now()));
     match reply {
         // An adapter that is dropped at once leaves nothing to look for: its place may be given away.
-        OrderReply::Done if order.drops_adapter() => {}
+        OrderReply::Done if order.unloads_adapter() => {}
         // What an engine reports is some hundred milliseconds old.
         OrderReply::Done | OrderReply::Conflict => {
             tokio::time::sleep(LOOK_AGAIN).await;
--- a/crates/gateway/tests/unit/catalogue/outcomes.rs
+++ b/crates/gateway/tests/unit/catalogue/outcomes.rs
@@ -31,7 +31,7 @@
             if !served {
                 self.fresh.insert(key.clone());
             }
-        } else if order.drops_adapter() && reply == OrderReply::Done && !served {
+        } else if order.unloads_adapter() && reply == OrderReply::Done && !served {
             self.unused += usize::from(self.fresh.remove(key));
         }
     }
--- a/crates/gateway/tests/unit/catalogue/world.rs
+++ b/crates/gateway/tests/unit/catalogue/world.rs
@@ -529,7 +529,7 @@
         let history = self.history.entry(key).or_default();
         history.push(format!("{now} {order}: {reply:?}"));
         gw.with_fleet(&order.engine, |f| f.record_reply(order, reply, gw.now()));
-        if reply == OrderReply::Done && order.drops_adapter() {
+        if reply == OrderReply::Done && order.unloads_adapter() {
             working.end(&start);
             gw.plan_now.notify_one();
             return;
