--- a/crates/fleet/tests/adapters.rs
+++ b/crates/fleet/tests/adapters.rs
@@ -1,7 +1,7 @@
-//! Which adapter makes room for one that callers wait for.
+//! Which adapter is evicted for one that callers wait for.
 //!
-//! Places for adapters are few: a model may have a hundred adapters and an engine eight places. What
-//! matters to callers is whether the adapter is there when they come back.
+//! Adapter slots are few: a model may have a hundred adapters and an engine eight slots. What
+//! matters to callers is whether the adapter is there when they retry.
 
 mod shared;
 
@@ -16,8 +16,8 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-/// The one place has been taken for so long.
-const TAKEN: u64 = 100;
+/// The only slot has been taken for this time, in milliseconds.
+const TAKEN_MS: u64 = 100;
 
 const RATE: Rate = Rate {
     work: 5.0,
@@ -28,7 +28,7 @@
     Upstream::from_text("e1").expect("a valid name")
 }
 
-/// One model with two adapters; an engine has a place for one.
+/// One model with two adapters; an engine has one slot.
 fn catalog() -> Catalog {
     Catalog {
         memory: Megabytes(80_000),
@@ -40,7 +40,7 @@
     fleet_with("held")
 }
 
-/// An engine of which a report has shown lately that it got the adapter.
+/// An engine that has recently reported the load of the adapter.
 fn fleet_with(name: &str) -> Fleet {
     let mut fleet = Fleet::default();
     let centre = DataCentre::from_text("dc1").expect("a valid name");
@@ -54,11 +54,11 @@
         seq: 1,
         ..Held::default()
     };
-    fleet.report(&engine(), held, Millis(NOW.0 - TAKEN));
+    fleet.report(&engine(), held, Millis(NOW.0 - TAKEN_MS));
     fleet
 }
 
-/// Callers who have asked in vain for so long; the last of them comes back after `back`.
+/// Unmet demand that has waited this long, with a retry expected after `last_retry`.
 fn unmet(waited: u32, last_retry: u32) -> Unmet {
     Unmet {
         waited,
@@ -69,8 +69,8 @@
     }
 }
 
-/// What is ordered where callers of the adapter that is held, and of the one that is wanted, come back
-/// after these times, and the latter have waited for so long; both are asked for.
+/// The orders if callers of the held and of the wanted adapter retry after these times, the latter
+/// have waited for `waited`, and both adapters have requests.
 fn ordered((held, wanted, waited): (u32, u32, u32)) -> Vec<String> {
     let unmet: UnmetByKey = [
         (key("held"), unmet(1_000, held)),
@@ -84,10 +84,10 @@
     (model("m"), Some(adapter(name)))
 }
 
-/// What is ordered where the adapter that is held and what is asked for in vain have a rate.
+/// The orders if the held adapter and those with unmet demand have a request rate.
 fn plan(planner: &mut Planner, unmet: &UnmetByKey, now: Millis) -> Vec<String> {
-    let asked = unmet.keys().cloned().chain([key("held")]);
-    let rates = asked.map(|k| (k, RATE)).collect();
+    let unserved = unmet.keys().cloned().chain([key("held")]);
+    let rates = unserved.map(|k| (k, RATE)).collect();
     plan_with(planner, &fleet(), (&rates, unmet), false, now)
 }
 
@@ -114,50 +114,51 @@
     orders.iter().map(ToString::to_string).collect()
 }
 
-/// A caller was refused, and what it had asked for was forgotten again; the next caller counts anew.
+/// After a refused caller was forgotten again, the next one is expected at its own retry time.
 #[test]
-fn the_next_caller_in_vain_is_awaited_too() {
+fn the_next_refused_caller_is_expected_too() {
     let mut planner = Planner::new(PlanSettings::default());
-    let asked = UnmetByKey::from([(key("wanted"), unmet(100, 250))]);
-    assert_eq!(plan(&mut planner, &asked, NOW), makes_room());
+    let unserved = UnmetByKey::from([(key("wanted"), unmet(100, 250))]);
+    assert_eq!(plan(&mut planner, &unserved, NOW), makes_room());
     let later = NOW.plus(2_000);
     assert_eq!(plan(&mut planner, &UnmetByKey::new(), later), stays());
-    assert_eq!(plan(&mut planner, &asked, later.plus(100)), makes_room());
+    assert_eq!(plan(&mut planner, &unserved, later.plus(100)), makes_room());
 }
 
-/// The adapter came and went again before the caller who had been told to come back for it did. Who was told
-/// a time finds it there all the same, though nobody else has asked for it lately.
+/// The adapter was loaded and unloaded before the caller with a retry-after time retried. It is
+/// there for the retry all the same, though there were no other recent requests for it.
 #[test]
-fn a_caller_is_awaited_though_the_adapter_was_there_meanwhile() {
+fn a_caller_is_expected_though_the_adapter_was_held_meanwhile() {
     let mut planner = Planner::new(PlanSettings::default());
-    let asked_at = NOW;
-    let told = |now: Millis| Unmet {
-        waited: now.since(asked_at) as u32,
-        last_age: now.since(asked_at) as u32,
+    let refused_at = NOW;
+    let demand = |now: Millis| Unmet {
+        waited: now.since(refused_at) as u32,
+        last_age: now.since(refused_at) as u32,
         attempts: 1,
-        next_retry: 8_000 - now.since(asked_at) as u32,
-        last_retry: 8_000 - now.since(asked_at) as u32,
+        next_retry: 8_000 - now.since(refused_at) as u32,
+        last_retry: 8_000 - now.since(refused_at) as u32,
     };
-    let (nobody, rates) = (Rates::new(), Rates::from([(key("held"), RATE)]));
-    let came = asked_at.plus(1_000);
-    let unmet = UnmetByKey::from([(key("wanted"), told(came))]);
+    let (no_rates, rates) = (Rates::new(), Rates::from([(key("held"), RATE)]));
+    let later = refused_at.plus(1_000);
+    let unmet = UnmetByKey::from([(key("wanted"), demand(later))]);
     let order = plan_with(
         &mut planner,
         &fleet_with("wanted"),
-        (&nobody, &unmet),
+        (&no_rates, &unmet),
         false,
-        came,
+        later,
     );
     assert_eq!(order, stays());
-    let due = asked_at.plus(7_500);
-    let unmet = UnmetByKey::from([(key("wanted"), told(due))]);
+    let due = refused_at.plus(7_500);
+    let unmet = UnmetByKey::from([(key("wanted"), demand(due))]);
     let order = plan_with(&mut planner, &fleet(), (&rates, &unmet), false, due);
     assert_eq!(order, makes_room());
 }
 
-/// A caller comes back when the planner may have died as the one before it did: the adapter is there by then.
+/// If the planner may fail like the one before it, an adapter is loaded before its caller retries
+/// in the interval without a planner.
 #[test]
-fn a_planner_that_succeeds_a_dead_one_makes_room_ahead() {
+fn a_successor_of_a_failed_planner_makes_room_ahead() {
     let unmet = UnmetByKey::from([(key("wanted"), unmet(1_000, 3_000))]);
     let rates = Rates::from([(key("held"), RATE), (key("wanted"), RATE)]);
     let ordered = |after_failure| {
@@ -168,16 +169,16 @@
     assert_eq!(ordered(false), stays());
 }
 
-/// Of two callers the first comes back in a moment, the other later.
+/// Of two callers, the first retries in a moment, the other later.
 #[test]
-fn the_first_of_two_callers_is_awaited_too() {
+fn the_first_of_two_callers_is_expected_too() {
     let mut planner = Planner::new(PlanSettings::default());
     let first = Unmet {
         next_retry: 250,
         ..unmet(1_000, 4_000)
     };
-    let asked = UnmetByKey::from([(key("wanted"), first)]);
-    assert_eq!(plan(&mut planner, &asked, NOW), makes_room());
+    let unserved = UnmetByKey::from([(key("wanted"), first)]);
+    assert_eq!(plan(&mut planner, &unserved, NOW), makes_room());
 }
 
 fn makes_room() -> Vec<String> {
@@ -189,11 +190,11 @@
 }
 
 cases! { ordered;
-    an_adapter_whose_caller_is_gone_makes_room: (0, 250, 1_000) => makes_room(),
-    an_adapter_whose_caller_comes_back_in_a_moment_stays: (250, 250, 1_000) => stays(),
-    an_adapter_whose_caller_comes_back_later_makes_room: (1_500, 250, 1_000) => makes_room(),
-    an_adapter_makes_no_room_for_a_caller_who_is_gone: (0, 0, 1_000) => stays(),
-    an_adapter_makes_no_room_for_a_caller_who_comes_back_later: (0, 1_500, 1_000) => stays(),
-    an_adapter_makes_room_for_one_that_was_waited_for_long: (0, 0, 5_000) => makes_room(),
-    an_adapter_whose_caller_comes_back_in_a_moment_stays_all_the_same: (250, 0, 5_000) => stays(),
+    an_adapter_without_a_retry_is_evicted: (0, 250, 1_000) => makes_room(),
+    an_adapter_with_a_due_retry_stays: (250, 250, 1_000) => stays(),
+    an_adapter_with_a_later_retry_is_evicted: (1_500, 250, 1_000) => makes_room(),
+    an_adapter_is_not_evicted_without_a_retry: (0, 0, 1_000) => stays(),
+    an_adapter_is_not_evicted_for_a_later_retry: (0, 1_500, 1_000) => stays(),
+    an_adapter_is_evicted_for_a_long_wait: (0, 0, 5_000) => makes_room(),
+    an_adapter_with_a_due_retry_stays_despite_a_long_wait: (250, 0, 5_000) => stays(),
 }
--- a/crates/fleet/tests/backlog.rs
+++ b/crates/fleet/tests/backlog.rs
@@ -1,7 +1,8 @@
-//! Callers of many adapters of one model, after seconds in which no daemon could order.
+//! Callers of many adapters of one model, after seconds in which no daemon could send orders.
 //!
-//! An engine has far fewer places than there are adapters that somebody waits for. A place given to each
-//! wait in turn costs two orders a turn and serves nobody: the adapter is dropped before its caller is back.
+//! An engine has far fewer slots than there are adapters with waiting callers. Giving a slot to
+//! each wait in turn takes two orders a turn and serves no caller: the adapter is unloaded before
+//! its caller retries.
 
 mod shared;
 
@@ -17,48 +18,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const START: u64 = 1_000_000;
-const STEP: u64 = 20;
+const STEP_MS: u64 = 20;
 
-/// How long callers come while nobody orders, and afterwards.
-const VACANT: u64 = 10_000;
-const PLANNED: u64 = 20_000;
+/// How long callers arrive without a planner, and with one afterwards.
+const UNPLANNED_MS: u64 = 10_000;
+const PLANNED_MS: u64 = 20_000;
 
 /// Callers a second, spread evenly over the adapters.
-const CALLERS: f64 = 3.0;
+const CALLER_RATE: f64 = 3.0;
 const ADAPTERS: usize = 40;
-const PLACES: usize = 8;
+const SLOTS: usize = 8;
 
-/// Callers are told to come back after so long while a planner works, and within so long of its first plan
-/// where they came before.
+/// The retry-after time while there is a planner; callers refused earlier retry within the second
+/// time after its first plan.
 const ADAPTER_MS: u64 = 500;
-const SPREAD: u64 = 10_000;
+const RETRY_SPREAD_MS: u64 = 10_000;
 
-/// What the planner hears of callers is so old.
-const HEARD: u64 = 200;
+/// The age of the demand that the planner receives.
+const DEMAND_AGE_MS: u64 = 200;
 
-/// An adapter that is dropped within so long has come for nobody: two orders take about as long.
-const AT_ONCE: u64 = 500;
+/// An adapter that is unloaded within this time has served no caller: two orders take about as
+/// long.
+const AT_ONCE_MS: u64 = 500;
 
-/// A place is made ready for a caller no longer than this before the caller comes.
-const AWAITED: u64 = 1_000;
+/// A slot is made ready for a caller at most this long before it retries.
+const RETRY_LEAD_MS: u64 = 1_000;
 
-/// Work of one request, in milliseconds.
-const WORK: f64 = 20.0;
+/// The work of one request, in milliseconds.
+const REQUEST_WORK: f64 = 20.0;
 
-/// What became of callers and of what was loaded, from the planner's first plan on.
+/// The results for callers and loaded adapters, from the planner's first plan on.
 #[derive(Debug, Default)]
 struct Outcome {
     callers: usize,
-    /// Callers who came back in time and found the adapter away.
+    /// Callers that retried on time and found the adapter missing.
     lost: usize,
     loads: usize,
-    /// Adapters that were dropped before any caller found them.
+    /// Adapters that were unloaded before any caller used them.
     unused: usize,
-    /// Those of them that were dropped as soon as they had come, for one that nobody was about to come for.
-    turns: usize,
+    /// Those of them that were unloaded just after their load, for an adapter without a caller
+    /// about to retry.
+    wasted: usize,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     rng: SmallRng,
     catalog: Catalog,
@@ -67,12 +70,12 @@
     planner: Planner,
     demand: Demand,
     unmet: UnmetDemand,
-    /// Callers who come back, by the time.
-    back: BTreeSet<(u64, usize)>,
-    /// Adapters that no caller has found yet, and when they came.
-    fresh: BTreeMap<Adapter, u64>,
-    /// Whether the adapter that was dropped last had just come.
-    had_come: bool,
+    /// The expected retries, by time.
+    retries: BTreeSet<(u64, usize)>,
+    /// Adapters that no caller has used yet, and when they were loaded.
+    unused_since: BTreeMap<Adapter, u64>,
+    /// Whether the adapter that was unloaded last had just been loaded.
+    was_new: bool,
     outcome: Outcome,
 }
 
@@ -84,17 +87,17 @@
     adapter(&format!("a{number}"))
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let names: Vec<String> = (0..ADAPTERS).map(|n| format!("a{n}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let catalog = Catalog {
             memory: Megabytes(80_000),
-            adapter_slots: PLACES,
+            adapter_slots: SLOTS,
             ..shared::catalog(&["m"], &names)
         };
         let held = Held {
-            models: [(model("m"), (0..PLACES).map(named).collect())].into(),
+            models: [(model("m"), (0..SLOTS).map(named).collect())].into(),
             ..Held::default()
         };
         let mut fleet = Fleet::default();
@@ -116,73 +119,83 @@
             planner: Planner::new(PlanSettings::default()),
             demand: Demand::default(),
             unmet: UnmetDemand::default(),
-            back: BTreeSet::new(),
-            fresh: BTreeMap::new(),
-            had_come: false,
+            retries: BTreeSet::new(),
+            unused_since: BTreeMap::new(),
+            was_new: false,
             outcome: Outcome::default(),
         }
     }
 
     fn is_planned(&self) -> bool {
-        self.now >= START + VACANT
+        self.now >= START + UNPLANNED_MS
     }
 
     fn run(&mut self) {
-        while self.now < START + VACANT + PLANNED {
-            self.now += STEP;
-            self.call();
+        while self.now < START + UNPLANNED_MS + PLANNED_MS {
+            self.now += STEP_MS;
+            self.simulate_callers();
             if self.is_planned() {
                 self.plan();
             }
         }
     }
 
-    fn call(&mut self) {
-        while let Some((at, number)) = self.back.first().copied().filter(|(at, _)| *at <= self.now)
+    fn simulate_callers(&mut self) {
+        while let Some((at, number)) = self
+            .retries
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= self.now)
         {
-            self.back.remove(&(at, number));
-            self.ask(number, true);
+            self.retries.remove(&(at, number));
+            self.request(number, true);
         }
-        if self.rng.random_bool(CALLERS * STEP as f64 / 1_000.0) {
+        if self.rng.random_bool(CALLER_RATE * STEP_MS as f64 / 1_000.0) {
             let number = self.rng.random_range(0..ADAPTERS);
-            self.ask(number, false);
+            self.request(number, false);
         }
     }
 
-    fn ask(&mut self, number: usize, came_back: bool) {
+    fn request(&mut self, number: usize, is_retry: bool) {
         let (now, m, a) = (Millis(self.now), model("m"), named(number));
         let served = self.held.models[&m].contains(&a);
         let planned = self.is_planned();
         if planned {
-            self.outcome.callers += usize::from(!came_back);
-            self.outcome.lost += usize::from(came_back && !served);
+            self.outcome.callers += usize::from(!is_retry);
+            self.outcome.lost += usize::from(is_retry && !served);
         }
         if served {
-            self.fresh.remove(&a);
+            self.unused_since.remove(&a);
             self.unmet.on_served(&m, Some(&a), now);
         }
-        if !came_back {
-            self.demand.record(&m, Some(&a), WORK, now);
+        if !is_retry {
+            self.demand.record(&m, Some(&a), REQUEST_WORK, now);
         }
         if !served {
-            let told = match planned {
+            let retry_after = match planned {
                 true => ADAPTER_MS,
-                false => START + VACANT - self.now + ADAPTER_MS + self.rng.random_range(0..SPREAD),
+                false => {
+                    START + UNPLANNED_MS - self.now
+                        + ADAPTER_MS
+                        + self.rng.random_range(0..RETRY_SPREAD_MS)
+                }
             };
-            self.unmet.record(&m, Some(&a), Millis(told), now);
-            if !came_back {
-                self.back.insert((self.now + told, number));
+            self.unmet.record(&m, Some(&a), Millis(retry_after), now);
+            if !is_retry {
+                self.retries.insert((self.now + retry_after, number));
             }
         }
     }
 
     fn plan(&mut self) {
         let now = Millis(self.now);
-        // What daemons tell is some time old.
-        let heard = Millis(self.now - HEARD);
+        // The demand that daemons report is some time old.
+        let reported = Millis(self.now - DEMAND_AGE_MS);
         let rates = self.demand.rates(now);
-        let told = self.unmet.longest(64, heard).into_iter();
-        let unmet = told.map(|(m, a, u)| ((m.clone(), a.cloned()), u)).collect();
+        let retry_after = self.unmet.longest(64, reported).into_iter();
+        let unmet = retry_after
+            .map(|(m, a, u)| ((m.clone(), a.cloned()), u))
+            .collect();
         let view = PlanView {
             warmup: WarmupPhase::Over,
             catalog: &self.catalog,
@@ -197,37 +210,40 @@
         let mut window = LoadWindow::new(Millis(5_000), 1.1);
         let orders = self.planner.plan(&view, &mut window, now);
         for order in orders {
-            self.carry_out(&order);
+            self.execute_order(&order);
         }
     }
 
-    /// Whether a caller is about to come back for the adapter.
-    fn is_awaited(&self, adapter: &Adapter) -> bool {
-        let mut near = self.back.iter().filter(|(at, _)| *at < self.now + AWAITED);
-        near.any(|(_, number)| named(*number) == *adapter)
+    /// Whether a caller of the adapter is about to retry.
+    fn has_due_retry(&self, adapter: &Adapter) -> bool {
+        let mut due = self
+            .retries
+            .iter()
+            .filter(|(at, _)| *at < self.now + RETRY_LEAD_MS);
+        due.any(|(_, number)| named(*number) == *adapter)
     }
 
-    /// The engine carries an order out at once and reports what it holds.
-    fn carry_out(&mut self, order: &Order) {
+    /// The engine carries out an order at once and reports what it holds.
+    fn execute_order(&mut self, order: &Order) {
         let now = Millis(self.now);
         self.fleet.record_sent(order, now);
         let adapter = order.adapter.clone().expect("no order about weights");
-        let nobody = !self.is_awaited(&adapter);
+        let without_caller = !self.has_due_retry(&adapter);
         let all = self.held.models.get_mut(&order.model).expect("the model");
         let reply = match order.kind {
             OrderKind::Load => {
                 self.outcome.loads += 1;
-                let had_come = std::mem::take(&mut self.had_come);
-                self.outcome.turns += usize::from(had_come && nobody);
-                self.fresh.insert(adapter.clone(), self.now);
+                let was_new = std::mem::take(&mut self.was_new);
+                self.outcome.wasted += usize::from(was_new && without_caller);
+                self.unused_since.insert(adapter.clone(), self.now);
                 all.insert(adapter);
-                assert!(all.len() <= PLACES, "places are never promised twice");
+                assert!(all.len() <= SLOTS, "slots are never allocated twice");
                 OrderReply::Accepted
             }
             OrderKind::Unload => {
-                if let Some(came) = self.fresh.remove(&adapter) {
+                if let Some(loaded_at) = self.unused_since.remove(&adapter) {
                     self.outcome.unused += 1;
-                    self.had_come = self.now - came < AT_ONCE;
+                    self.was_new = self.now - loaded_at < AT_ONCE_MS;
                 }
                 all.remove(&adapter);
                 OrderReply::Done
@@ -240,26 +256,26 @@
 }
 
 fn outcome(seed: u64) -> Outcome {
-    let mut world = World::new(seed);
-    world.run();
-    println!("{:?}", world.outcome);
-    world.outcome
+    let mut simulation = Simulation::new(seed);
+    simulation.run();
+    println!("{:?}", simulation.outcome);
+    simulation.outcome
 }
 
-/// How many callers were refused again when they came back as they had been told to, and how many adapters
-/// were dropped as soon as they had come, for others that nobody was about to come for.
-fn lost_and_turned(seed: u64) -> (usize, usize) {
+/// The number of callers that were refused again when they retried on time, and of adapters that
+/// were unloaded just after their load, for others without a caller about to retry.
+fn lost_and_wasted(seed: u64) -> (usize, usize) {
     let outcome = outcome(seed);
-    (outcome.lost, outcome.turns)
+    (outcome.lost, outcome.wasted)
 }
 
-cases! { lost_and_turned;
-    // Each wait of five seconds took the place of the one before, so that adapters were loaded and dropped
-    // for nobody, and callers who came back as they were told to found theirs away.
-    nobody_who_comes_back_is_refused_again_seed_1: 1 => (0, 0),
-    nobody_who_comes_back_is_refused_again_seed_2: 2 => (0, 0),
-    nobody_who_comes_back_is_refused_again_seed_3: 3 => (0, 0),
-    nobody_who_comes_back_is_refused_again_seed_4: 4 => (0, 0),
-    nobody_who_comes_back_is_refused_again_seed_5: 5 => (0, 0),
-    nobody_who_comes_back_is_refused_again_seed_6: 6 => (0, 0),
+cases! { lost_and_wasted;
+    // Each wait of five seconds evicted the adapter of the one before, so that adapters were loaded
+    // and unloaded without use, and callers that retried on time did not find theirs.
+    no_retry_is_refused_seed_1: 1 => (0, 0),
+    no_retry_is_refused_seed_2: 2 => (0, 0),
+    no_retry_is_refused_seed_3: 3 => (0, 0),
+    no_retry_is_refused_seed_4: 4 => (0, 0),
+    no_retry_is_refused_seed_5: 5 => (0, 0),
+    no_retry_is_refused_seed_6: 6 => (0, 0),
 }
--- a/crates/fleet/tests/entries.rs
+++ b/crates/fleet/tests/entries.rs
@@ -1,4 +1,4 @@
-//! An entry in the platform's list is older than what is known of its engine.
+//! List entries that are older than what is known of their engine.
 
 use shaleline_fleet::{Fleet, Held, HeldSource, Order, OrderKind, OrderReply};
 use shaleline_testkit::cases;
@@ -7,10 +7,10 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-/// An entry that is read so long after a change was written after it.
+/// An entry that is read this long after a change was written after it.
 const LAG: u64 = 2_500;
 
-/// When the engine started.
+/// The start time of the engine.
 const STARTED: Incarnation = Incarnation::from_millis(1_000);
 
 fn model() -> Model {
@@ -25,7 +25,7 @@
     Upstream::from_text("e1").expect("a valid name")
 }
 
-/// The engine holds the model, with the adapter where that is said.
+/// The engine holds the model, with the adapter if `with_adapter` is set.
 fn held(seq: u64, with_adapter: bool) -> Held {
     let adapters: BTreeSet<Adapter> = with_adapter.then(adapter).into_iter().collect();
     Held {
@@ -49,7 +49,7 @@
     fleet
 }
 
-fn drop_of(adapter: Option<Adapter>) -> Order {
+fn unload_order(adapter: Option<Adapter>) -> Order {
     Order {
         engine: engine(),
         kind: OrderKind::Unload,
@@ -62,8 +62,8 @@
     }
 }
 
-fn is_dropped_by_order(fleet: &mut Fleet) {
-    let order = drop_of(Some(adapter()));
+fn is_unloaded_by_order(fleet: &mut Fleet) {
+    let order = unload_order(Some(adapter()));
     fleet.record_sent(&order, NOW);
     fleet.record_reply(&order, OrderReply::Done, NOW);
 }
@@ -72,12 +72,12 @@
     fleet.report(&engine(), held(4, false), NOW);
 }
 
-fn is_said_to_be_absent(fleet: &mut Fleet) {
+fn is_reported_absent(fleet: &mut Fleet) {
     fleet.record_absent(&engine(), &model(), Some(&adapter()), NOW);
 }
 
-fn is_refused_to_drop(fleet: &mut Fleet) {
-    let order = drop_of(Some(adapter()));
+fn unload_is_refused(fleet: &mut Fleet) {
+    let order = unload_order(Some(adapter()));
     fleet.record_sent(&order, NOW);
     fleet.record_reply(&order, OrderReply::Conflict, NOW);
     fleet.report(&engine(), held(3, true), NOW);
@@ -88,8 +88,8 @@
     fleet.report(&engine(), held(5, true), NOW);
 }
 
-fn starts_again_with_it(fleet: &mut Fleet) {
-    is_dropped_by_order(fleet);
+fn restarts_with_it(fleet: &mut Fleet) {
+    is_unloaded_by_order(fleet);
     let again = Held {
         incarnation: Incarnation::from_millis(NOW.0),
         ..held(0, true)
@@ -97,8 +97,8 @@
     list(fleet, again, NOW);
 }
 
-/// Whether the adapter is believed to be held when an entry that lists it is read so long after.
-fn is_believed((after, read): (fn(&mut Fleet), u64)) -> bool {
+/// Whether the adapter counts as held after an entry that lists it is read at this time.
+fn counts_as_held((after, read): (fn(&mut Fleet), u64)) -> bool {
     let mut fleet = fleet();
     after(&mut fleet);
     let listed = Held {
@@ -113,15 +113,15 @@
     fleet.serves_adapter(&model(), &adapter())
 }
 
-cases! { is_believed;
-    an_old_entry_brings_no_dropped_adapter_back: (is_dropped_by_order, 900) => false,
-    an_old_entry_brings_no_adapter_back_that_a_report_lacks: (is_no_longer_reported, 900) => false,
-    an_old_entry_brings_no_adapter_back_that_the_engine_denied: (is_said_to_be_absent, 900) => false,
-    a_later_entry_brings_a_dropped_adapter_back: (is_dropped_by_order, LAG) => true,
-    a_later_entry_brings_an_adapter_back_that_a_report_lacked: (is_no_longer_reported, LAG) => true,
-    what_was_not_dropped_stays: (is_refused_to_drop, 900) => true,
-    what_was_loaded_again_stays: (is_loaded_again, 900) => true,
-    what_a_new_start_holds_is_believed: (starts_again_with_it, 900) => true,
+cases! { counts_as_held;
+    an_old_entry_restores_no_unloaded_adapter: (is_unloaded_by_order, 900) => false,
+    an_old_entry_restores_no_adapter_that_a_report_lacks: (is_no_longer_reported, 900) => false,
+    an_old_entry_restores_no_adapter_that_is_reported_absent: (is_reported_absent, 900) => false,
+    a_later_entry_restores_an_unloaded_adapter: (is_unloaded_by_order, LAG) => true,
+    a_later_entry_restores_an_adapter_that_a_report_lacked: (is_no_longer_reported, LAG) => true,
+    an_adapter_that_was_not_unloaded_stays: (unload_is_refused, 900) => true,
+    an_adapter_that_was_loaded_again_stays: (is_loaded_again, 900) => true,
+    an_entry_of_a_new_incarnation_counts: (restarts_with_it, 900) => true,
 }
 
 fn no_longer_reports_the_model(fleet: &mut Fleet) {
@@ -133,7 +133,7 @@
     fleet.report(&engine(), none, NOW);
 }
 
-/// Whether the model is believed to be served when an entry that lists it is read so long after.
+/// Whether the model counts as served after an entry that lists it is read at this time.
 fn is_served((after, read): (fn(&mut Fleet), u64)) -> bool {
     let mut fleet = fleet();
     after(&mut fleet);
@@ -142,6 +142,6 @@
 }
 
 cases! { is_served;
-    an_old_entry_brings_no_model_back_that_a_report_lacks: (no_longer_reports_the_model, 900) => false,
-    a_later_entry_brings_a_model_back_that_a_report_lacked: (no_longer_reports_the_model, LAG) => true,
+    an_old_entry_restores_no_model_that_a_report_lacks: (no_longer_reports_the_model, 900) => false,
+    a_later_entry_restores_a_model_that_a_report_lacked: (no_longer_reports_the_model, LAG) => true,
 }
--- a/crates/fleet/tests/handover.rs
+++ b/crates/fleet/tests/handover.rs
@@ -1,4 +1,4 @@
-//! What a planner that stops leaves to its successor.
+//! The handover from a stopping planner to its successor.
 
 use quickcheck::{Gen, QuickCheck};
 use shaleline_fleet::{Handover, LastOrders, LoadWindow};
@@ -6,34 +6,34 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-/// The lease and what an order may be on its way.
-const REST: Millis = Millis(3_400);
+/// The lease and the time that an order may be in transit.
+const COOLDOWN: Millis = Millis(3_400);
 
 fn engine(number: u8) -> Upstream {
     Upstream::from_text(&format!("e{number}")).expect("a valid name")
 }
 
-/// Orders of three planners, each of which hands over to the next: who orders which engine,
-/// and how long after the order before. Whatever the series, nobody orders an engine within
-/// the lease of another planner's order.
+/// Simulates orders of three planners, each of which hands over to the next; a step is the planner,
+/// the engine and the pause before the order. No engine may get an order within the lease of
+/// another planner's order.
 fn is_lease_apart(steps: Vec<(u8, u8, u16)>) -> bool {
     let mut now = NOW;
     let mut orders: Vec<(Upstream, u8, Millis)> = Vec::new();
     let mut last = LastOrders::default();
-    let mut resting = last.cooldowns(REST, now);
+    let mut cooldowns = last.cooldowns(COOLDOWN, now);
     let mut planner = 0;
-    for (who, number, pause) in steps {
+    for (sender, number, pause) in steps {
         now = now.plus(u64::from(pause) % 2_000);
-        if who % 3 != planner {
+        if sender % 3 != planner {
             let handover = last.to_handover(None, now);
             now = now.plus(20);
-            planner = who % 3;
+            planner = sender % 3;
             last = LastOrders::default();
             last.inherit(&handover, now);
-            resting = last.cooldowns(REST, now);
+            cooldowns = last.cooldowns(COOLDOWN, now);
         }
         let engine = engine(number % 4);
-        if resting.get(&engine).is_some_and(|until| *until > now) {
+        if cooldowns.get(&engine).is_some_and(|until| *until > now) {
             continue;
         }
         last.record(&engine, now);
@@ -41,7 +41,7 @@
     }
     orders.iter().enumerate().all(|(i, (engine, planner, at))| {
         let before = orders[..i].iter().rev().find(|(e, ..)| e == engine);
-        before.is_none_or(|(_, by, when)| by == planner || at.since(*when) >= REST.0)
+        before.is_none_or(|(_, by, sent)| by == planner || at.since(*sent) >= COOLDOWN.0)
     })
 }
 
@@ -55,13 +55,13 @@
 }
 
 #[test]
-fn only_engines_that_were_ordered_lately_rest() {
+fn only_recently_ordered_engines_have_a_cooldown() {
     let mut last = LastOrders::default();
     last.record(&engine(1), NOW);
     last.record(&engine(2), NOW.plus(3_000));
     let now = NOW.plus(4_000);
-    let resting = last.cooldowns(REST, now);
-    let names: Vec<&Upstream> = resting.keys().collect();
+    let cooldowns = last.cooldowns(COOLDOWN, now);
+    let names: Vec<&Upstream> = cooldowns.keys().collect();
     assert_eq!(names, [&engine(2)]);
 }
 
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Placement: what is ordered, and what is not.
+//! Placement: which orders are planned, and which are not.
 
 mod shared;
 
@@ -69,27 +69,29 @@
     Planner::new(PlanSettings::default()).plan(&view, &mut window, NOW)
 }
 
-fn sight(fleet: &mut Fleet, name: &str, held: Held) {
+fn list(fleet: &mut Fleet, name: &str, held: Held) {
     fleet.observe(&engine(name), &centre(), held, HeldSource::Listed, NOW);
 }
 
-fn words(orders: &[Order]) -> Vec<String> {
+fn texts(orders: &[Order]) -> Vec<String> {
     orders.iter().map(ToString::to_string).collect()
 }
 
-/// Two engines; `b` is held by nobody. What is ordered once `order` was accepted at the
-/// first engine and `after` came of it?
+/// The orders after an order was accepted by the first engine and `after` was applied; no engine
+/// holds `b`.
 fn after_accepted(after: fn(&mut Fleet, &Order)) -> Vec<String> {
     let catalog = catalog(&["a", "b"]);
     let mut fleet = Fleet::default();
-    sight(&mut fleet, "e1", held(&["a"], 0));
+    list(&mut fleet, "e1", held(&["a"], 0));
     let orders = plan(&catalog, &fleet, &Rates::new());
-    let order = orders.first().expect("the model that is nowhere is loaded");
+    let order = orders
+        .first()
+        .expect("the model without a replica is loaded");
     fleet.record_sent(order, NOW);
     fleet.record_reply(order, OrderReply::Accepted, NOW);
     after(&mut fleet, order);
     let others = catalog_with_c();
-    words(&plan(&others, &fleet, &Rates::new()))
+    texts(&plan(&others, &fleet, &Rates::new()))
 }
 
 fn catalog_with_c() -> Catalog {
@@ -102,7 +104,7 @@
 fn nothing(_: &mut Fleet, _: &Order) {}
 
 fn an_entry_shows_it(fleet: &mut Fleet, _: &Order) {
-    sight(fleet, "e1", held(&["a", "b"], 99));
+    list(fleet, "e1", held(&["a", "b"], 99));
 }
 
 fn a_report_shows_it(fleet: &mut Fleet, _: &Order) {
@@ -122,21 +124,21 @@
 }
 
 cases! { after_accepted;
-    no_second_order_while_one_is_under_way: nothing => Vec::<String>::new(),
-    // A planner that took over promised memory twice: entries lag behind loads.
-    an_entry_is_no_proof_of_what_is_held: an_entry_shows_it => Vec::<String>::new(),
-    a_report_is_proof: a_report_shows_it => vec!["load c at e1 expecting 1".to_owned()],
-    a_busy_engine_is_no_proof: a_busy_report_shows_it => Vec::<String>::new(),
-    an_old_report_is_passed_over: an_old_report_comes => Vec::<String>::new(),
+    no_second_order_while_one_is_in_progress: nothing => Vec::<String>::new(),
+    // A planner that took over allocated memory twice, as list entries lag behind loads.
+    an_entry_confirms_nothing: an_entry_shows_it => Vec::<String>::new(),
+    a_report_confirms_what_is_held: a_report_shows_it => vec!["load c at e1 expecting 1".to_owned()],
+    a_busy_report_confirms_nothing: a_busy_report_shows_it => Vec::<String>::new(),
+    an_old_report_is_ignored: an_old_report_comes => Vec::<String>::new(),
 }
 
-/// What each engine holds.
+/// The models that each engine holds.
 type Holdings = &'static [&'static [&'static str]];
 
 /// Milliseconds of work a second, by model and adapter.
 type Work = &'static [(&'static str, Option<&'static str>, f64)];
 
-/// What is ordered at engines that hold these models, while `work` is asked for.
+/// The orders for engines that hold these models, with `work` as the demand.
 fn ordered(case: (Holdings, Work)) -> Vec<String> {
     let (engines, work) = case;
     let names: BTreeSet<&str> = engines.iter().flat_map(|e| e.iter().copied()).collect();
@@ -144,16 +146,16 @@
     let catalog = catalog(&names);
     let mut fleet = Fleet::default();
     for (i, models) in engines.iter().enumerate() {
-        sight(&mut fleet, &format!("e{i}"), held(models, 0));
+        list(&mut fleet, &format!("e{i}"), held(models, 0));
     }
-    words(&plan(&catalog, &fleet, &rates(work)))
+    texts(&plan(&catalog, &fleet, &rates(work)))
 }
 
 cases! { ordered;
     nothing_is_moved_without_demand: (&[&["a", "b"], &["a", "c"]], &[]) => Vec::<String>::new(),
-    a_last_replica_never_makes_room:
+    a_last_replica_is_never_evicted:
         (&[&["a", "b"], &["c", "d"]], &[("a", None, 900.0)]) => Vec::<String>::new(),
-    a_busy_model_takes_the_place_of_an_idle_one:
+    a_busy_model_evicts_an_idle_one:
         (&[&["a", "b"], &["b", "c"]], &[("a", None, 900.0)])
             => vec!["unload b at e1 expecting 0".to_owned()],
     a_small_gain_moves_nothing:
@@ -163,48 +165,48 @@
             => vec!["load a+a1 at e0 expecting 0".to_owned()],
 }
 
-/// `e1` has room for `b`, which nobody holds, and serves `a`, whose adapter `a1` callers ask
-/// for in vain. An adapter is there within milliseconds, and an engine that loads weights takes
-/// no order for nine seconds: adapters of busy models were away for as long.
+/// `e1` has room for `b`, which no engine holds, and serves `a`, whose adapter `a1` has unmet
+/// demand. An adapter loads within milliseconds, and an engine that loads weights takes no order
+/// for nine seconds: without this order, adapters of busy models were missing for that time.
 #[test]
-fn an_adapter_that_is_nowhere_goes_before_weights() {
+fn an_adapter_without_a_replica_goes_before_weights() {
     let catalog = catalog(&["a", "b"]);
     let mut fleet = Fleet::default();
-    sight(&mut fleet, "e1", held(&["a"], 0));
-    let asked = rates(&[("a", Some("a1"), 5.0), ("b", None, 300.0)]);
-    let orders = plan(&catalog, &fleet, &asked);
-    assert_eq!(words(&orders), ["load a+a1 at e1 expecting 0"]);
+    list(&mut fleet, "e1", held(&["a"], 0));
+    let demand = rates(&[("a", Some("a1"), 5.0), ("b", None, 300.0)]);
+    let orders = plan(&catalog, &fleet, &demand);
+    assert_eq!(texts(&orders), ["load a+a1 at e1 expecting 0"]);
 }
 
-/// An engine with its one place taken by `a1`, which is not asked for any more, while
-/// `a2` is. What is ordered next, once the order to drop `a1` got this answer?
-fn after_drop(reply: OrderReply) -> Vec<String> {
+/// The orders after this reply to an order to unload `a1`. The only slot of the engine holds `a1`,
+/// which has no requests, while `a2` has.
+fn after_unload(reply: OrderReply) -> Vec<String> {
     let catalog = catalog(&["a", "b"]);
     let mut fleet = Fleet::default();
     let mut full = held(&["a", "b"], 0);
     full.models
         .insert(model("a"), BTreeSet::from([adapter("a1")]));
-    sight(&mut fleet, "e1", full.clone());
-    let asked = rates(&[("a", Some("a2"), 5.0)]);
-    let orders = plan(&catalog, &fleet, &asked);
-    assert_eq!(words(&orders), ["unload a+a1 at e1 expecting 0"]);
+    list(&mut fleet, "e1", full.clone());
+    let demand = rates(&[("a", Some("a2"), 5.0)]);
+    let orders = plan(&catalog, &fleet, &demand);
+    assert_eq!(texts(&orders), ["unload a+a1 at e1 expecting 0"]);
     fleet.record_sent(&orders[0], NOW);
     fleet.record_reply(&orders[0], reply, NOW);
-    // An old entry, as it is read after the store was away.
-    sight(&mut fleet, "e1", held(&["a", "b"], 0));
-    words(&plan(&catalog, &fleet, &asked))
+    // An old entry, as it is read after the store was unavailable.
+    list(&mut fleet, "e1", held(&["a", "b"], 0));
+    texts(&plan(&catalog, &fleet, &demand))
 }
 
 fn again() -> Vec<String> {
     vec!["unload a+a1 at e1 expecting 0".to_owned()]
 }
 
-cases! { after_drop;
-    // Without an answer the adapter may still be there: a place was promised twice.
-    a_drop_without_an_answer_frees_no_place: OrderReply::Lost => again(),
-    a_refused_drop_frees_no_place: OrderReply::Conflict => again(),
-    a_drop_that_waits_for_its_requests_frees_no_place: OrderReply::Accepted => Vec::<String>::new(),
-    a_drop_done_at_once_frees_a_place: OrderReply::Done => vec![
+cases! { after_unload;
+    // Without a reply the adapter may still be held: a slot was allocated twice.
+    an_unload_without_a_reply_frees_no_slot: OrderReply::Lost => again(),
+    a_refused_unload_frees_no_slot: OrderReply::Conflict => again(),
+    an_unload_that_waits_for_its_requests_frees_no_slot: OrderReply::Accepted => Vec::<String>::new(),
+    an_unload_done_at_once_frees_a_slot: OrderReply::Done => vec![
         "load a+a2 at e1 expecting 1".to_owned()
     ],
 }
@@ -212,14 +214,14 @@
 #[test]
 fn loads_from_the_store_stop_at_its_rate() {
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
-    let room = window.available(1.4, NOW);
-    for _ in 0..room {
+    let available = window.available(1.4, NOW);
+    for _ in 0..available {
         window.record(NOW);
     }
     // 1.4 a second over 5 s, a tenth more, and 3: at most 10 may begin.
-    assert!(room <= 10, "{room} loads may begin at once");
+    assert!(available <= 10, "{available} loads may begin at once");
     assert_eq!(window.available(1.4, NOW.plus(5_000)), 0);
-    assert_eq!(window.available(1.4, NOW.plus(6_500)), room);
+    assert_eq!(window.available(1.4, NOW.plus(6_500)), available);
 }
 
 #[test]
@@ -231,32 +233,31 @@
 }
 
 #[test]
-fn what_an_adapter_takes_counts_before_it_is_there() {
+fn an_adapter_takes_its_slot_before_it_is_loaded() {
     let catalog = catalog(&["a", "b"]);
     let mut fleet = Fleet::default();
-    sight(&mut fleet, "e1", held(&["a", "b"], 0));
-    let asked = rates(&[("a", Some("a1"), 5.0), ("b", Some("a2"), 4.0)]);
-    let orders = plan(&catalog, &fleet, &asked);
-    assert_eq!(words(&orders), ["load a+a1 at e1 expecting 0"]);
+    list(&mut fleet, "e1", held(&["a", "b"], 0));
+    let demand = rates(&[("a", Some("a1"), 5.0), ("b", Some("a2"), 4.0)]);
+    let orders = plan(&catalog, &fleet, &demand);
+    assert_eq!(texts(&orders), ["load a+a1 at e1 expecting 0"]);
     fleet.record_sent(&orders[0], NOW);
     fleet.record_reply(&orders[0], OrderReply::Accepted, NOW);
-    let next = plan(&catalog, &fleet, &asked);
+    let next = plan(&catalog, &fleet, &demand);
     let loads = next.iter().filter(|o| o.kind == OrderKind::Load);
-    assert_eq!(loads.count(), 0, "one place, and it is promised");
+    assert_eq!(loads.count(), 0, "the only slot is allocated");
 }
 
-/// What is ordered before the first traffic: `a` is served by all engines, `b` and `c` by
-/// one each.
-fn before_traffic((lead, second): (WarmupPhase, Held)) -> Vec<String> {
+/// The orders before the first traffic: `a` is served by all engines, `b` and `c` by one each.
+fn before_traffic((warmup, second): (WarmupPhase, Held)) -> Vec<String> {
     let catalog = catalog(&["a", "b", "c"]);
     let mut fleet = Fleet::default();
-    sight(&mut fleet, "e1", held(&["a", "b"], 0));
-    sight(&mut fleet, "e2", held(&["a", "c"], 0));
+    list(&mut fleet, "e1", held(&["a", "b"], 0));
+    list(&mut fleet, "e2", held(&["a", "c"], 0));
     fleet.report(&engine("e2"), second, NOW);
-    words(&plan_in(lead, &catalog, &fleet, &Rates::new()))
+    texts(&plan_in(warmup, &catalog, &fleet, &Rates::new()))
 }
 
-/// The second engine with a copy of `b` beside what it held at first.
+/// The second engine with a copy of `b` in addition to what it held initially.
 fn with_a_copy(models: &[&str]) -> Held {
     Held {
         disk: [model("a"), model("b"), model("c")].into(),
@@ -269,15 +270,15 @@
         => vec!["unload a at e1 expecting 0".to_owned()],
     a_second_copy_is_loaded_where_room_was_made: (WarmupPhase::Spread, held(&["c"], 1))
         => vec!["load b at e2 expecting 1".to_owned()],
-    the_copy_makes_room_for_what_was_held: (WarmupPhase::Restore, with_a_copy(&["b", "c"]))
+    the_copy_is_evicted_for_what_was_held: (WarmupPhase::Restore, with_a_copy(&["b", "c"]))
         => vec!["unload b at e2 expecting 2".to_owned()],
-    what_was_held_comes_back: (WarmupPhase::Restore, with_a_copy(&["c"]))
+    what_was_held_is_loaded_again: (WarmupPhase::Restore, with_a_copy(&["c"]))
         => vec!["load a at e2 expecting 2".to_owned()],
-    nothing_is_done_once_callers_ask: (WarmupPhase::Over, held(&["a", "c"], 0))
+    nothing_is_done_once_there_are_requests: (WarmupPhase::Over, held(&["a", "c"], 0))
         => Vec::<String>::new(),
 }
 
-/// Engines `e1` with room for one model and copies of `hot` and `idle`, and `e2`, which
+/// Engine `e1` with room for one model and copies of `hot` and `idle`, and engine `e2`, which
 /// serves `hot` and has a copy of `idle`.
 fn room_beside_an_idle_model() -> Fleet {
     let mut fleet = Fleet::default();
@@ -285,31 +286,31 @@
         disk: disk.iter().map(|m| model(m)).collect(),
         ..held(models, seq)
     };
-    sight(&mut fleet, "e1", held(&["b"], 0));
-    sight(&mut fleet, "e2", held(&["hot", "b"], 0));
+    list(&mut fleet, "e1", held(&["b"], 0));
+    list(&mut fleet, "e2", held(&["hot", "b"], 0));
     fleet.report(&engine("e1"), with(&["b"], &["hot", "idle"], 1), NOW);
     fleet.report(&engine("e2"), with(&["hot", "b"], &["idle"], 1), NOW);
     fleet
 }
 
-/// Some models were never served all day: an idle model that had made room for one that was asked for
-/// was loaded back into it, again and again.
+/// An idle model that was evicted for a requested one was loaded again into the free room each
+/// time, so that some models were never served.
 #[test]
-fn room_goes_to_the_model_that_needs_it_before_an_idle_one() {
+fn room_goes_to_a_busy_model_before_an_idle_one() {
     let catalog = catalog(&["b", "hot", "idle"]);
     let fleet = room_beside_an_idle_model();
-    let asked = rates(&[("hot", None, 900.0)]);
-    let orders = words(&plan(&catalog, &fleet, &asked));
+    let demand = rates(&[("hot", None, 900.0)]);
+    let orders = texts(&plan(&catalog, &fleet, &demand));
     assert_eq!(orders, ["load hot at e1 expecting 1"]);
-    let orders = words(&plan(&catalog, &fleet, &Rates::new()));
+    let orders = texts(&plan(&catalog, &fleet, &Rates::new()));
     assert_eq!(orders, ["load idle at e1 expecting 1"]);
 }
 
-/// Two engines with room and copies of `hot`, which nobody holds, and more work than either
-/// does in a second. A planner that took the crowd on a full engine for worse than no
-/// engine at all left such a model away for eight seconds.
+/// Two engines with room and copies of `hot`, which no engine holds and which has more work than
+/// either engine can do. A planner that valued an overloaded engine lower than no engine left such
+/// a model without a replica for eight seconds.
 #[test]
-fn a_model_asked_for_beyond_one_engine_is_loaded_all_the_same() {
+fn a_model_with_more_work_than_one_engine_can_do_is_loaded() {
     let catalog = catalog(&["b", "hot"]);
     let mut fleet = Fleet::default();
     let copied = |seq| Held {
@@ -317,48 +318,48 @@
         ..held(&["b"], seq)
     };
     for name in ["e1", "e2"] {
-        sight(&mut fleet, name, held(&["b"], 0));
+        list(&mut fleet, name, held(&["b"], 0));
         fleet.report(&engine(name), copied(1), NOW);
     }
-    let asked = rates(&[("hot", None, 3_000.0), ("b", None, 400.0)]);
-    let orders = words(&plan(&catalog, &fleet, &asked));
+    let demand = rates(&[("hot", None, 3_000.0), ("b", None, 400.0)]);
+    let orders = texts(&plan(&catalog, &fleet, &demand));
     assert_eq!(
         orders,
         ["load hot at e1 expecting 1", "load hot at e2 expecting 1"]
     );
 }
 
-/// Which model is loaded first where two are nowhere: the one with more callers, though the
-/// work of the other is greater.
+/// Of two models without a replica, the one with more callers is loaded first, though the other has
+/// more work.
 #[test]
-fn callers_count_and_not_the_work_that_they_bring() {
+fn models_are_ranked_by_callers_and_not_by_work() {
     let catalog = catalog(&["b", "fast", "slow"]);
     let mut fleet = Fleet::default();
-    sight(&mut fleet, "e1", held(&["b"], 0));
+    list(&mut fleet, "e1", held(&["b"], 0));
     let copied = Held {
         disk: [model("fast"), model("slow")].into(),
         ..held(&["b"], 1)
     };
     fleet.report(&engine("e1"), copied, NOW);
     let rate = |work: f32, count: f32| Rate { work, count };
-    let asked = Rates::from([
+    let demand = Rates::from([
         ((model("fast"), None), rate(100.0, 30.0)),
         ((model("slow"), None), rate(200.0, 10.0)),
     ]);
-    let orders = words(&plan(&catalog, &fleet, &asked));
+    let orders = texts(&plan(&catalog, &fleet, &demand));
     assert_eq!(orders, ["load fast at e1 expecting 1"]);
 }
 
-/// An engine makes room for `hot`; until it has, `hot` counts as there, so that no second
-/// engine makes room for the same callers.
+/// While an engine makes room for `hot`, `hot` counts as held there, so that no second engine makes
+/// room for the same callers.
 #[test]
-fn room_is_made_once_for_the_same_callers() {
+fn room_is_made_only_once_for_the_same_callers() {
     let catalog = catalog(&["a", "b", "c", "hot"]);
     let mut fleet = Fleet::default();
     for (name, models) in [("e1", ["a", "b"]), ("e2", ["b", "c"]), ("e3", ["a", "c"])] {
-        sight(&mut fleet, name, held(&models, 0));
+        list(&mut fleet, name, held(&models, 0));
     }
-    let asked = rates(&[("hot", None, 300.0)]);
+    let demand = rates(&[("hot", None, 300.0)]);
     let mut planner = Planner::new(PlanSettings::default());
     let mut window = LoadWindow::new(Millis(5_000), 1.1);
     let mut orders = |fleet: &Fleet, now| {
@@ -366,7 +367,7 @@
             warmup: WarmupPhase::Over,
             catalog: &catalog,
             fleet,
-            rates: &asked,
+            rates: &demand,
             unmet: &UnmetByKey::new(),
             fence: 7,
             holder: "me",
@@ -376,22 +377,22 @@
         planner.plan(&view, &mut window, now)
     };
     let first = orders(&fleet, NOW);
-    assert_eq!(first.len(), 1, "{:?}", words(&first));
+    assert_eq!(first.len(), 1, "{:?}", texts(&first));
     assert_eq!(first[0].kind, OrderKind::Unload);
     fleet.record_sent(&first[0], NOW);
     fleet.record_reply(&first[0], OrderReply::Accepted, NOW);
     let later = orders(&fleet, NOW.plus(250));
-    assert_eq!(words(&later), Vec::<String>::new());
+    assert_eq!(texts(&later), Vec::<String>::new());
 }
 
-/// An engine that another planner ordered a moment ago is left alone, even where it would be
-/// the best.
+/// An engine that recently had an order from another planner gets none, even if it would be the
+/// best.
 #[test]
-fn a_resting_engine_gets_no_order() {
+fn an_engine_in_its_cooldown_gets_no_order() {
     let catalog = catalog(&["a", "b"]);
     let mut fleet = Fleet::default();
-    sight(&mut fleet, "e1", held(&["a"], 0));
-    sight(&mut fleet, "e2", held(&["a"], 0));
+    list(&mut fleet, "e1", held(&["a"], 0));
+    list(&mut fleet, "e2", held(&["a"], 0));
     let ordered = |cooldowns: &BTreeMap<Upstream, Millis>| {
         let view = PlanView {
             warmup: WarmupPhase::Over,
@@ -406,7 +407,7 @@
         };
         let mut window = LoadWindow::new(Millis(5_000), 1.1);
         let mut planner = Planner::new(PlanSettings::default());
-        words(&planner.plan(&view, &mut window, NOW))
+        texts(&planner.plan(&view, &mut window, NOW))
     };
     assert_eq!(ordered(&BTreeMap::new()), ["load b at e1 expecting 0"]);
     let cooldowns = BTreeMap::from([(engine("e1"), NOW.plus(3_000))]);
--- a/crates/fleet/tests/planner_lease.rs
+++ b/crates/fleet/tests/planner_lease.rs
@@ -1,4 +1,4 @@
-//! The planner's claim: never two at once, and never without a holder for long.
+//! The planner lease: never held by two daemons at once, and never without a holder for long.
 
 use quickcheck::{Gen, QuickCheck, TestResult};
 use shaleline_fleet::{
@@ -28,59 +28,60 @@
         }
     }
 
-    fn append(&mut self, who: &str, end: u64) -> Result<u64, u64> {
+    fn append(&mut self, daemon: &str, end: u64) -> Result<u64, u64> {
         if end != self.end {
             return Err(self.end);
         }
-        self.holder = Some(who.to_owned());
+        self.holder = Some(daemon.to_owned());
         self.end += 1;
         Ok(end)
     }
 }
 
-/// One daemon, whose clock and calls may be held up.
+/// One daemon, whose clock and calls may be delayed.
 struct Daemon {
     name: String,
-    claim: PlannerLease,
-    frozen: u64,
-    /// Calls that are under way: when they are carried out, what they do, when they began,
-    /// and whether their answer is lost.
+    lease: PlannerLease,
+    paused_until: u64,
+    /// Calls in progress: when they are carried out, the action, when they began, and whether their
+    /// answer is lost.
     calls: VecDeque<(u64, PlannerLeaseAction, Millis, bool)>,
 }
 
-/// What may go wrong in one step of 50 ms: whose turn it is, and what.
+/// A possible fault in one step of 50 ms: the daemon concerned, and the kind of fault.
 type Step = (u8, u8);
 
-/// Plays the steps and returns the times at which each daemon could order, by token.
-fn play(steps: &[Step]) -> Vec<(u64, usize, u64)> {
+/// Simulates the steps and returns the times at which each daemon could send orders, with the
+/// token.
+fn simulate(steps: &[Step]) -> Vec<(u64, usize, u64)> {
     let settings = PlannerLeaseSettings::from_lease(LEASE);
     let mut topic = Topic::default();
     let mut daemons: Vec<Daemon> = (0..3)
         .map(|i| Daemon {
             name: format!("d{i}"),
-            claim: PlannerLease::new(settings, format!("d{i}")),
-            frozen: 0,
+            lease: PlannerLease::new(settings, format!("d{i}")),
+            paused_until: 0,
             calls: VecDeque::new(),
         })
         .collect();
     let mut orders = Vec::new();
-    for (i, (who, fault)) in steps.iter().enumerate() {
+    for (i, (daemon, fault)) in steps.iter().enumerate() {
         let now = START + i as u64 * 50;
-        let index = usize::from(*who) % daemons.len();
+        let index = usize::from(*daemon) % daemons.len();
         let mut lost = false;
         let mut delay = 5;
         match fault % 16 {
-            0 => daemons[index].frozen = now + 4_000,
+            0 => daemons[index].paused_until = now + 4_000,
             1 => lost = true,
             2 => delay = 2_500,
             _ => {}
         }
         for (d, daemon) in daemons.iter_mut().enumerate() {
             deliver(daemon, &mut topic, now);
-            if daemon.frozen > now {
+            if daemon.paused_until > now {
                 continue;
             }
-            if let Some(action) = daemon.claim.tick(Millis(now)) {
+            if let Some(action) = daemon.lease.tick(Millis(now)) {
                 let (lost, delay) = if d == index {
                     (lost, delay)
                 } else {
@@ -89,7 +90,7 @@
                 let call = (now + delay, action, Millis(now), lost);
                 daemon.calls.push_back(call);
             }
-            if let Some(fence) = daemon.claim.fence(Millis(now)) {
+            if let Some(fence) = daemon.lease.fence(Millis(now)) {
                 orders.push((now, d, fence));
             }
         }
@@ -99,22 +100,22 @@
 
 fn deliver(daemon: &mut Daemon, topic: &mut Topic, now: u64) {
     let due = daemon.calls.iter().filter(|c| c.0 <= now).count();
-    for (_, action, began, lost) in daemon.calls.drain(..due).collect::<Vec<_>>() {
+    for (_, action, started, lost) in daemon.calls.drain(..due).collect::<Vec<_>>() {
         match action {
-            PlannerLeaseAction::Read if lost => daemon.claim.on_failed(),
-            PlannerLeaseAction::Read => daemon.claim.on_read(&topic.view(), Millis(now)),
+            PlannerLeaseAction::Read if lost => daemon.lease.on_failed(),
+            PlannerLeaseAction::Read => daemon.lease.on_read(&topic.view(), Millis(now)),
             PlannerLeaseAction::Append { end, .. } => match topic.append(&daemon.name, end) {
-                _ if lost => daemon.claim.on_failed(),
-                Ok(offset) => daemon.claim.on_appended(offset, began),
-                Err(_) => daemon.claim.on_conflict(),
+                _ if lost => daemon.lease.on_failed(),
+                Ok(offset) => daemon.lease.on_appended(offset, started),
+                Err(_) => daemon.lease.on_conflict(),
             },
         }
     }
 }
 
 fn is_lease_apart(steps: Vec<Step>) -> TestResult {
-    let long: Vec<Step> = steps.into_iter().cycle().take(900).collect();
-    let orders = play(&long);
+    let repeated: Vec<Step> = steps.into_iter().cycle().take(900).collect();
+    let orders = simulate(&repeated);
     for pair in orders.windows(2) {
         let ((before, a, fence), (after, b, next)) = (pair[0], pair[1]);
         if a != b && (after - before < LEASE.0 || next <= fence) {
@@ -133,7 +134,7 @@
         .quickcheck(is_lease_apart as fn(Vec<Step>) -> TestResult);
 }
 
-/// The topic as it ends after a claim or a renewal.
+/// The topic as it ends after an acquisition or a renewal.
 fn view(end: u64, holder: Option<&str>) -> PlannerLeaseView {
     PlannerLeaseView {
         end,
@@ -143,86 +144,89 @@
     }
 }
 
-/// Found once by a run without a seed: a claim whose answer was lost was found by reading
-/// and counted from the read, while the others counted from the append.
+/// An acquisition whose answer was lost, and which was found by a read, counted from the read,
+/// while the other daemons counted from the append.
 #[test]
-fn a_claim_found_late_counts_from_its_append() {
-    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
-    claim.tick(Millis(START));
-    claim.on_read(&view(0, None), Millis(START));
+fn an_acquisition_found_late_counts_from_its_append() {
+    let mut lease = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
+    lease.tick(Millis(START));
+    lease.on_read(&view(0, None), Millis(START));
     let append = PlannerLeaseAction::Append {
         end: 0,
         fence: None,
     };
-    assert_eq!(claim.tick(Millis(START)), Some(append));
-    claim.on_failed();
-    claim.tick(Millis(START + 2_000));
-    claim.on_read(&view(1, Some("me")), Millis(START + 2_000));
-    assert!(claim.is_holder());
-    assert_eq!(claim.fence(Millis(START + 2_000)), None);
+    assert_eq!(lease.tick(Millis(START)), Some(append));
+    lease.on_failed();
+    lease.tick(Millis(START + 2_000));
+    lease.on_read(&view(1, Some("me")), Millis(START + 2_000));
+    assert!(lease.is_holder());
+    assert_eq!(lease.fence(Millis(START + 2_000)), None);
 }
 
 #[test]
-fn somebody_holds_it_at_once_and_again_after_a_freeze() {
-    let calm: Vec<Step> = vec![(0, 9); 40];
-    let orders = play(&calm);
+fn a_daemon_holds_it_at_once_and_again_after_a_pause() {
+    let faultless: Vec<Step> = vec![(0, 9); 40];
+    let orders = simulate(&faultless);
     assert!(orders.iter().any(|(at, ..)| *at < START + 500));
     let holder = orders[0].1 as u8;
-    let mut frozen = calm;
-    frozen.push((holder, 0));
-    frozen.extend(vec![(0, 9); 200]);
-    let after = play(&frozen);
-    let last = after.last().expect("somebody plans");
-    assert!(last.0 >= START + 230 * 50, "nobody plans at the end");
+    let mut paused_until = faultless;
+    paused_until.push((holder, 0));
+    paused_until.extend(vec![(0, 9); 200]);
+    let after = simulate(&paused_until);
+    let last = after.last().expect("a daemon can send orders");
+    assert!(
+        last.0 >= START + 230 * 50,
+        "no daemon can send orders at the end"
+    );
 }
 
 #[test]
-fn a_claim_without_an_answer_is_found_by_reading() {
-    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
-    assert_eq!(claim.tick(Millis(START)), Some(PlannerLeaseAction::Read));
-    claim.on_read(&view(0, None), Millis(START + 5));
+fn an_acquisition_without_an_answer_is_found_by_reading() {
+    let mut lease = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
+    assert_eq!(lease.tick(Millis(START)), Some(PlannerLeaseAction::Read));
+    lease.on_read(&view(0, None), Millis(START + 5));
     let append = PlannerLeaseAction::Append {
         end: 0,
         fence: None,
     };
-    assert_eq!(claim.tick(Millis(START + 10)), Some(append));
-    claim.on_failed();
+    assert_eq!(lease.tick(Millis(START + 10)), Some(append));
+    lease.on_failed();
     assert_eq!(
-        claim.tick(Millis(START + 600)),
+        lease.tick(Millis(START + 600)),
         Some(PlannerLeaseAction::Read)
     );
-    claim.on_read(&view(1, Some("me")), Millis(START + 605));
-    assert_eq!(claim.fence(Millis(START + 610)), Some(1));
+    lease.on_read(&view(1, Some("me")), Millis(START + 605));
+    assert_eq!(lease.fence(Millis(START + 610)), Some(1));
 }
 
 #[test]
-fn a_successor_counts_from_the_last_renewal_that_was_heard_of() {
+fn a_successor_counts_from_the_last_received_renewal() {
     let settings = PlannerLeaseSettings::from_lease(LEASE);
-    let mut claim = PlannerLease::new(settings, "me".to_owned());
+    let mut lease = PlannerLease::new(settings, "me".to_owned());
     let view = PlannerLeaseView {
         end: 9,
         holder: Some("other".to_owned()),
         released: false,
         has_handover: false,
     };
-    claim.on_renewal(9, Millis(START));
-    // The same renewal, told again by somebody whose news is old.
-    claim.on_renewal(9, Millis(START + 1_200));
+    lease.on_renewal(9, Millis(START));
+    // The same renewal, received again with an older age.
+    lease.on_renewal(9, Millis(START + 1_200));
     let silent = START + 1_300;
-    assert_eq!(claim.tick(Millis(START + 1_200)), None);
-    assert_eq!(claim.tick(Millis(silent)), Some(PlannerLeaseAction::Read));
-    claim.on_read(&view, Millis(silent + 5));
+    assert_eq!(lease.tick(Millis(START + 1_200)), None);
+    assert_eq!(lease.tick(Millis(silent)), Some(PlannerLeaseAction::Read));
+    lease.on_read(&view, Millis(silent + 5));
     let due = settings.validity.0 + settings.lease.0 + settings.slack.0;
     assert_ne!(
-        claim.tick(Millis(START + due - 1)),
+        lease.tick(Millis(START + due - 1)),
         Some(PlannerLeaseAction::Append {
             end: 9,
             fence: None
         })
     );
-    claim.on_read(&view, Millis(START + due - 1));
+    lease.on_read(&view, Millis(START + due - 1));
     assert_eq!(
-        claim.tick(Millis(START + due)),
+        lease.tick(Millis(START + due)),
         Some(PlannerLeaseAction::Append {
             end: 9,
             fence: None
@@ -230,98 +234,101 @@
     );
 }
 
-/// When a successor may claim that reads a release at `START`.
-fn claims_after(has_handover: bool) -> u64 {
-    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
-    claim.tick(Millis(START));
+/// The time after which a successor that reads a release at `START` acquires the lease.
+fn acquires_after(has_handover: bool) -> u64 {
+    let mut lease = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "me".to_owned());
+    lease.tick(Millis(START));
     let view = PlannerLeaseView {
         end: 9,
         holder: Some("other".to_owned()),
         released: true,
         has_handover,
     };
-    claim.on_read(&view, Millis(START));
+    lease.on_read(&view, Millis(START));
     let append = PlannerLeaseAction::Append {
         end: 9,
         fence: None,
     };
     let mut now = START;
-    while claim.tick(Millis(now)) != Some(append) {
-        claim.on_read(&view, Millis(now));
+    while lease.tick(Millis(now)) != Some(append) {
+        lease.on_read(&view, Millis(now));
         now += 50;
     }
     now - START
 }
 
-cases! { claims_after;
+cases! { acquires_after;
     // Each planned stop of a planner left the engines without one for 3.5 s.
-    a_release_that_says_what_was_ordered_is_followed_at_once: true => 0,
-    one_that_does_not_is_waited_out: false => 3_400,
+    a_release_with_a_handover_is_followed_at_once: true => 0,
+    a_release_without_a_handover_is_waited_out: false => 3_400,
 }
 
-/// What a daemon that heard of a renewal so long ago knows of the time without a holder: how long it has
-/// lasted, and how long it takes until another daemon may order.
-fn vacancy_after(ms: u64) -> Option<(u64, u64)> {
+/// What a daemon that received a renewal this long ago knows of the interval without a planner: its
+/// duration so far, and the time until another daemon may send orders.
+fn gap_after(ms: u64) -> Option<(u64, u64)> {
     let settings = PlannerLeaseSettings::from_lease(LEASE);
-    let mut claim = PlannerLease::new(settings, "d0".to_owned());
-    claim.on_renewal(7, Millis(START));
-    let vacancy = claim.gap(Millis(START + ms));
-    vacancy.map(
+    let mut lease = PlannerLease::new(settings, "d0".to_owned());
+    lease.on_renewal(7, Millis(START));
+    let gap = lease.gap(Millis(START + ms));
+    gap.map(
         |PlannerGap {
              elapsed, remaining, ..
          }| (elapsed.0, remaining.0),
     )
 }
 
-cases! { vacancy_after;
-    a_holder_that_was_heard_lately_is_there: 1_000 => None,
-    a_holder_that_is_silent_is_followed_after_its_lease: 2_000 => Some((2_000, 2_600)),
-    a_successor_that_is_due_takes_another_read: 6_000 => Some((6_000, 500)),
+cases! { gap_after;
+    a_holder_with_a_recent_renewal_leaves_no_gap: 1_000 => None,
+    a_holder_without_renewals_is_followed_after_its_lease: 2_000 => Some((2_000, 2_600)),
+    a_successor_that_is_due_needs_another_read: 6_000 => Some((6_000, 500)),
 }
 
 #[test]
-fn who_never_heard_of_a_holder_knows_of_no_vacancy() {
-    let claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
-    assert_eq!(claim.gap(Millis(START)), None);
+fn without_any_received_renewal_no_gap_is_known() {
+    let lease = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
+    assert_eq!(lease.gap(Millis(START)), None);
 }
 
-/// How much longer a daemon tells callers to wait, one second into the silence of a holder, where holders
-/// before it died after renewing for so long each, and others took over after `SUCCEEDED`.
-fn longer_after(lives: &[u64]) -> u64 {
+/// The additional wait that a daemon announces to callers one second into the silence of a holder,
+/// if earlier holders failed after renewing for these times, and others took over after
+/// `SUCCEEDED`.
+fn extra_after(lifetimes: &[u64]) -> u64 {
     const SUCCEEDED: u64 = 5_000;
-    const INTO: u64 = 2_000;
-    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
+    const ELAPSED: u64 = 2_000;
+    let mut lease = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
     let (mut now, mut end) = (START, 7);
-    for lived in lives {
-        for _ in 0..=lived / 500 {
-            claim.on_renewal(end, Millis(now));
+    for lifetime in lifetimes {
+        for _ in 0..=lifetime / 500 {
+            lease.on_renewal(end, Millis(now));
             (now, end) = (now + 500, end + 1);
         }
         now += SUCCEEDED - 500;
     }
-    let silent = now - SUCCEEDED + INTO;
-    let vacancy = claim.gap(Millis(silent)).expect("nobody renews");
-    vacancy.extra.0
+    let silent = now - SUCCEEDED + ELAPSED;
+    let gap = lease.gap(Millis(silent)).expect("no renewal is received");
+    gap.extra.0
 }
 
-cases! { longer_after;
-    // Callers who were refused after one planner's death came back after its successor's.
-    one_death_is_waited_out: &[20_000] => 0,
-    a_second_death_soon_after_is_taken_for_a_series: &[20_000, 500] => 4_600,
-    a_third_one_too: &[20_000, 500, 1_500] => 9_200,
-    no_more_are_counted: &[20_000, 500, 500, 500] => 9_200,
-    a_death_long_after_is_the_first_again: &[20_000, 20_000] => 0,
+cases! { extra_after;
+    // Callers that were refused after the failure of one planner retried after the failure of its
+    // successor.
+    one_failure_adds_nothing: &[20_000] => 0,
+    a_second_failure_soon_after_is_a_series: &[20_000, 500] => 4_600,
+    a_third_failure_adds_to_the_series: &[20_000, 500, 1_500] => 9_200,
+    no_more_than_two_failures_are_counted: &[20_000, 500, 500, 500] => 9_200,
+    a_failure_long_after_starts_a_new_series: &[20_000, 20_000] => 0,
 }
 
-/// A successor that dies before anybody hears of it leaves one long silence.
-fn longer_within(silent: u64) -> u64 {
-    let mut claim = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
-    claim.on_renewal(7, Millis(START));
-    let vacancy = claim.gap(Millis(START + silent));
-    vacancy.expect("nobody renews").extra.0
+/// The additional wait after one long silence, as left by a successor that fails before any renewal
+/// of it is received.
+fn extra_within(silent: u64) -> u64 {
+    let mut lease = PlannerLease::new(PlannerLeaseSettings::from_lease(LEASE), "d0".to_owned());
+    lease.on_renewal(7, Millis(START));
+    let gap = lease.gap(Millis(START + silent));
+    gap.expect("no renewal is received").extra.0
 }
 
-cases! { longer_within;
-    a_successor_that_is_late_has_not_died: 5_500 => 0,
-    a_successor_that_nobody_heard_of_has: 9_900 => 4_600,
+cases! { extra_within;
+    a_late_successor_has_not_failed: 5_500 => 0,
+    a_successor_without_a_received_renewal_has_failed: 9_900 => 4_600,
 }
--- a/crates/fleet/tests/restart.rs
+++ b/crates/fleet/tests/restart.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under its name: it holds nothing and knows no order.
+//! An engine that restarts under the same name holds nothing and has accepted no orders.
 
 mod shared;
 
@@ -13,7 +13,7 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-/// When the engine started first, and again.
+/// The start times of the two incarnations of the engine.
 const FIRST: u64 = 1_700_000_000_000;
 const SECOND: u64 = FIRST + 60_000;
 
@@ -54,18 +54,18 @@
     Planner::new(PlanSettings::default()).plan(&view, &mut window, now)
 }
 
-fn words(orders: &[Order]) -> Vec<String> {
+fn texts(orders: &[Order]) -> Vec<String> {
     orders.iter().map(ToString::to_string).collect()
 }
 
-/// The engine held `a` and had accepted three orders. What is ordered after it was heard of
-/// like this?
-fn ordered_after(heard: fn(&mut Fleet)) -> Vec<String> {
+/// The orders after this information about an engine that held `a` and `b` and had accepted three
+/// orders.
+fn ordered_after(event: fn(&mut Fleet)) -> Vec<String> {
     let mut fleet = Fleet::default();
     list(&mut fleet, held(&["a", "b"], 0, FIRST), NOW);
     fleet.report(&engine(), held(&["a", "b"], 3, FIRST), NOW);
-    heard(&mut fleet);
-    words(&plan(&mut fleet, NOW.plus(100)))
+    event(&mut fleet);
+    texts(&plan(&mut fleet, NOW.plus(100)))
 }
 
 fn nothing(_: &mut Fleet) {}
@@ -88,7 +88,7 @@
     list(fleet, held(&["a", "b"], 0, FIRST), NOW.plus(50));
 }
 
-fn an_entry_without_a_start(fleet: &mut Fleet) {
+fn an_entry_without_an_incarnation_comes(fleet: &mut Fleet) {
     let held = Held {
         incarnation: Incarnation::default(),
         ..held(&[], 0, FIRST)
@@ -105,44 +105,45 @@
 }
 
 cases! { ordered_after;
-    nothing_while_it_runs_on: nothing => none(),
-    it_is_filled_anew_once_its_entry_tells: a_new_entry => first(),
-    // Its count is lower than what is known, which was taken for an old report.
-    it_is_filled_anew_once_its_report_tells: a_new_report => first(),
-    an_earlier_starts_report_changes_nothing: an_old_report_after_it => first(),
-    an_earlier_starts_entry_changes_nothing: an_old_entry_after_it => first(),
-    what_does_not_tell_its_start_changes_nothing: an_entry_without_a_start => none(),
-}
-
-/// A load of `a` was ordered of an empty engine, which answered like this and then started
-/// again. What is ordered so much later?
+    nothing_without_a_restart: nothing => none(),
+    it_is_loaded_again_after_a_new_entry: a_new_entry => first(),
+    // Its number of orders is lower than the known one, so that the report was taken for an old
+    // one.
+    it_is_loaded_again_after_a_new_report: a_new_report => first(),
+    a_report_of_an_earlier_incarnation_is_ignored: an_old_report_after_it => first(),
+    an_entry_of_an_earlier_incarnation_is_ignored: an_old_entry_after_it => first(),
+    an_entry_without_an_incarnation_is_ignored: an_entry_without_an_incarnation_comes => none(),
+}
+
+/// The orders at a later time, after a load of `a` at an empty engine got this reply and the engine
+/// then restarted.
 fn after_a_load((reply, later): (OrderReply, u64)) -> Vec<String> {
     let mut fleet = Fleet::default();
     list(&mut fleet, held(&[], 0, FIRST), NOW);
     let orders = plan(&mut fleet, NOW);
     let order = Order {
         model: model("a"),
-        ..orders.first().expect("it is filled").clone()
+        ..orders.first().expect("an order to load a model").clone()
     };
     fleet.record_sent(&order, NOW);
     fleet.record_reply(&order, reply, NOW);
     list(&mut fleet, held(&["b"], 0, SECOND), NOW.plus(100));
-    words(&plan(&mut fleet, NOW.plus(later)))
+    texts(&plan(&mut fleet, NOW.plus(later)))
 }
 
 cases! { after_a_load;
-    // What it had accepted ended with it.
+    // What it had accepted ended with its process.
     an_accepted_order_is_forgotten: (OrderReply::Accepted, 200) => first(),
-    // It may still be carried out: its condition, no order before it, holds again.
-    an_order_in_doubt_keeps_its_room: (OrderReply::Lost, 200) => none(),
-    an_order_in_doubt_keeps_its_room_while_it_may_come: (OrderReply::Lost, 12_000) => none(),
-    an_old_order_in_doubt_is_forgotten: (OrderReply::Lost, 16_000) => first(),
+    // It may still be carried out: its condition, no earlier order, holds again.
+    an_unconfirmed_order_keeps_its_room: (OrderReply::Lost, 200) => none(),
+    an_unconfirmed_order_keeps_its_room_while_it_may_arrive: (OrderReply::Lost, 12_000) => none(),
+    an_old_unconfirmed_order_is_forgotten: (OrderReply::Lost, 16_000) => first(),
     a_refused_order_is_forgotten: (OrderReply::Conflict, 200) => first(),
 }
 
-/// Once the engine has accepted an order itself, one of before that expects none is void.
+/// Once the engine has accepted an order itself, an earlier one that expects none is void.
 #[test]
-fn an_order_in_doubt_is_void_once_another_was_accepted() {
+fn an_unconfirmed_order_is_void_once_another_was_accepted() {
     let mut fleet = Fleet::default();
     list(&mut fleet, held(&[], 0, FIRST), NOW);
     let order = plan(&mut fleet, NOW).remove(0);
@@ -151,5 +152,5 @@
     list(&mut fleet, held(&["b"], 0, SECOND), NOW.plus(100));
     fleet.report(&engine(), held(&["b"], 1, SECOND), NOW.plus(200));
     let orders = plan(&mut fleet, NOW.plus(300));
-    assert_eq!(words(&orders), ["load c at e1 expecting 1"]);
+    assert_eq!(texts(&orders), ["load c at e1 expecting 1"]);
 }
--- a/crates/fleet/tests/shared/mod.rs
+++ b/crates/fleet/tests/shared/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of plans share: names, and a catalog of models that load alike.
+//! Names and a catalog of uniform models, shared by several tests of plans.
 
 use shaleline_fleet::{Catalog, ModelProfile};
 use shaleline_types::{Adapter, Megabytes, Millis, Model};
@@ -11,9 +11,10 @@
     Adapter::from_text(name).expect("a valid name")
 }
 
-/// Models of 70 GB, each with these adapters, on engines of 150 GB: two fit, and one adapter beside them.
+/// Models of 70 GB, each with these adapters, on engines of 150 GB: two fit, and one adapter beside
+/// them.
 pub fn catalog(models: &[&str], adapters: &[&str]) -> Catalog {
-    let rule = ModelProfile {
+    let profile = ModelProfile {
         weights_size: Megabytes(70_000),
         store_time: Millis(9_000),
         disk_time: Millis(2_000),
@@ -22,7 +23,7 @@
         adapter_size: Megabytes(50),
     };
     Catalog {
-        models: models.iter().map(|m| (model(m), rule.clone())).collect(),
+        models: models.iter().map(|m| (model(m), profile.clone())).collect(),
         memory: Megabytes(150_000),
         adapter_slots: 1,
         load_rate: 10.0,
--- a/crates/fleet/tests/size.rs
+++ b/crates/fleet/tests/size.rs
@@ -12,11 +12,11 @@
 const MODELS: usize = 163;
 const ROOM: usize = 3;
 
-/// One model in so many has most of the requests.
-const HOT: usize = 9;
+/// One model in this many has most of the requests.
+const BUSY_STEP: usize = 9;
 
 const START: u64 = 1_000_000;
-const PLAN_EVERY: u64 = 250;
+const PLAN_INTERVAL_MS: u64 = 250;
 const PLANS: u64 = 40;
 
 fn model(number: usize) -> Model {
@@ -28,7 +28,7 @@
 }
 
 fn catalog() -> Catalog {
-    let rule = ModelProfile {
+    let profile = ModelProfile {
         weights_size: Megabytes(70_000),
         store_time: Millis(8_000),
         disk_time: Millis(1_600),
@@ -37,7 +37,7 @@
         adapter_size: Megabytes(50),
     };
     Catalog {
-        models: (0..MODELS).map(|m| (model(m), rule.clone())).collect(),
+        models: (0..MODELS).map(|m| (model(m), profile.clone())).collect(),
         memory: Megabytes(220_000),
         adapter_slots: 8,
         load_rate: 12.5,
@@ -47,49 +47,53 @@
     }
 }
 
-/// Engines whose orders are carried out in the time that they take.
-struct Play {
+/// Engines that take a realistic time for each order.
+struct Simulation {
     catalog: Catalog,
     fleet: Fleet,
     planner: Planner,
     window: LoadWindow,
     held: BTreeMap<Upstream, Held>,
-    work: Vec<(u64, Order)>,
+    in_progress: Vec<(u64, Order)>,
 }
 
-impl Play {
-    /// Each model is on one engine; the room that is left has the models at `first` and each
-    /// ninth after it.
+impl Simulation {
+    /// Each model is on one engine; the remaining room holds the models at `first` and each ninth
+    /// after it.
     fn new(first: usize) -> Self {
-        let mut play = Self {
+        let mut simulation = Self {
             catalog: catalog(),
             fleet: Fleet::default(),
             planner: Planner::new(PlanSettings::default()),
             window: LoadWindow::new(Millis(5_000), 1.1),
             held: BTreeMap::new(),
-            work: Vec::new(),
+            in_progress: Vec::new(),
         };
-        let hot: Vec<usize> = (first..MODELS).step_by(HOT).collect();
-        let mut places = (0..MODELS).chain((0..).map(|n| hot[n % hot.len()]));
+        let busy: Vec<usize> = (first..MODELS).step_by(BUSY_STEP).collect();
+        let mut slots = (0..MODELS).chain((0..).map(|n| busy[n % busy.len()]));
         for number in 0..ENGINES {
-            let mine: BTreeSet<Model> = places.by_ref().take(ROOM).map(model).collect();
+            let models: BTreeSet<Model> = slots.by_ref().take(ROOM).map(model).collect();
             let held = Held {
-                models: mine.iter().map(|m| (m.clone(), BTreeSet::new())).collect(),
-                disk: mine,
+                models: models
+                    .iter()
+                    .map(|m| (m.clone(), BTreeSet::new()))
+                    .collect(),
+                disk: models,
                 ..Held::default()
             };
             let centre = DataCentre::from_text("dc1").expect("a valid name");
             let (name, now) = (engine(number), Millis(START));
-            play.held.insert(name.clone(), held.clone());
-            play.fleet
+            simulation.held.insert(name.clone(), held.clone());
+            simulation
+                .fleet
                 .observe(&name, &centre, held, HeldSource::Listed, now);
         }
-        play
+        simulation
     }
 
     fn finish_orders(&mut self, now: u64) {
-        let (done, open) = self.work.drain(..).partition(|(at, _)| *at <= now);
-        self.work = open;
+        let (done, open) = self.in_progress.drain(..).partition(|(at, _)| *at <= now);
+        self.in_progress = open;
         let done: Vec<(u64, Order)> = done;
         for (_, order) in done {
             let held = self.held.get_mut(&order.engine).expect("it was ordered");
@@ -123,13 +127,13 @@
         self.planner.plan(&view, &mut self.window, at)
     }
 
-    fn give(&mut self, order: Order, now: u64) {
+    fn send_order(&mut self, order: Order, now: u64) {
         let held = self.held.get_mut(&order.engine).expect("it is known");
         held.seq += 1;
-        let near = held.disk.contains(&order.model);
-        let takes = match order.kind {
+        let on_disk = held.disk.contains(&order.model);
+        let duration = match order.kind {
             OrderKind::Unload => 300,
-            OrderKind::Load if near => 1_600,
+            OrderKind::Load if on_disk => 1_600,
             OrderKind::Load => {
                 self.window.record(Millis(now));
                 8_000
@@ -138,47 +142,49 @@
         self.fleet.record_sent(&order, Millis(now));
         self.fleet
             .record_reply(&order, OrderReply::Accepted, Millis(now));
-        self.work.push((now + takes, order));
+        self.in_progress.push((now + duration, order));
     }
 
-    /// Plans while callers ask for these models; how many orders are given.
+    /// Plans with these rates; returns the number of orders.
     fn run(&mut self, rates: &Rates) -> usize {
         let mut count = 0;
         for step in 0..PLANS {
-            let now = START + step * PLAN_EVERY;
+            let now = START + step * PLAN_INTERVAL_MS;
             self.finish_orders(now);
             for order in self.plan(rates, now) {
                 count += 1;
-                self.give(order, now);
+                self.send_order(order, now);
             }
         }
         count
     }
 }
 
-/// What callers ask for: the models at `first` and each ninth after it, equally.
+/// Equal request rates for the models at `first` and each ninth after it.
 fn rates(first: usize) -> Rates {
     let rate = Rate {
         work: 2_000.0,
         count: 20.0,
     };
-    let hot = (first..MODELS).step_by(HOT);
-    hot.map(|m| ((model(m), None), rate)).collect()
+    let busy = (first..MODELS).step_by(BUSY_STEP);
+    busy.map(|m| ((model(m), None), rate)).collect()
 }
 
-/// Demand has moved to models that one engine holds each, and many moves are worth the same. A
-/// plan that weighed a move and took it back left the last digits of what engines have to do
-/// changed, found each of two moves worse than the other by them, and looked at both in turn
-/// for good.
+/// Demand has moved to models with one replica each, and many moves have the same value. A plan
+/// that evaluated a move and reverted it left rounding errors in the loads of the engines. By them
+/// it found each of two moves worse than the other, and evaluated both in turn without end.
 #[test]
-fn a_plan_ends_where_moves_are_worth_the_same() {
-    assert!(Play::new(0).run(&rates(1)) > 0);
+fn a_plan_ends_if_moves_have_the_same_value() {
+    assert!(Simulation::new(0).run(&rates(1)) > 0);
 }
 
 /// Demand has not moved: each busy model has the engines that it needs.
 #[test]
-fn little_is_moved_while_demand_stays() {
-    let calm = Play::new(0).run(&rates(0));
-    let moved = Play::new(0).run(&rates(1));
-    assert!(2 * calm < moved, "{calm} orders calm, {moved} moved");
+fn few_orders_are_sent_while_demand_is_steady() {
+    let steady = Simulation::new(0).run(&rates(0));
+    let moved = Simulation::new(0).run(&rates(1));
+    assert!(
+        2 * steady < moved,
+        "{steady} orders at steady demand, {moved} at moved demand"
+    );
 }
