--- a/crates/fleet/src/adapters.rs
+++ b/crates/fleet/src/adapters.rs
@@ -74,10 +74,10 @@
     pub(crate) fn load_adapters(
         &mut self,
         valuation: &Valuation<'a>,
-        asked: &[AdapterDemand<'a>],
+        demands: &[AdapterDemand<'a>],
         copies: usize,
     ) {
-        for adapter in asked {
+        for adapter in demands {
             self.load_adapter(valuation, adapter, copies);
         }
     }
@@ -92,7 +92,7 @@
             .keys()
             .filter(|k| !rates.contains_key(k));
         let all = rated.chain(waits.map(|key| (*key, 0.0)));
-        let mut asked: Vec<AdapterDemand<'a>> = all
+        let mut demands: Vec<AdapterDemand<'a>> = all
             .filter_map(|(key, work)| {
                 Some(AdapterDemand {
                     model: &key.0,
@@ -102,20 +102,20 @@
                 })
             })
             .collect();
-        asked.sort_by(|a, b| {
+        demands.sort_by(|a, b| {
             let ((a_priority, a_work), (b_priority, b_work)) = (a.priority(), b.priority());
             a_priority.cmp(&b_priority).then(b_work.total_cmp(&a_work))
         });
-        asked
+        demands
     }
 
     fn load_adapter(
         &mut self,
         valuation: &Valuation<'a>,
-        asked: &AdapterDemand<'a>,
+        demand: &AdapterDemand<'a>,
         copies: usize,
     ) {
-        let AdapterDemand { model, adapter, .. } = *asked;
+        let AdapterDemand { model, adapter, .. } = *demand;
         let snapshot = self.snapshot;
         let Some(number) = snapshot.model_index.get(model) else {
             return;
@@ -143,7 +143,7 @@
                 None
             } else {
                 let eviction_scope = match count {
-                    0 => asked.eviction_scope(),
+                    0 => demand.eviction_scope(),
                     _ => EvictionScope::Idle,
                 };
                 Some(self.eviction_victim(engine, eviction_scope)?)
@@ -181,7 +181,7 @@
         }
         let rates = self.snapshot.view.rates;
         let now = self.snapshot.now;
-        let missed = engine.confirmed_adapters().filter_map(|slot| {
+        let candidates = engine.confirmed_adapters().filter_map(|slot| {
             let is_sole = self.adapter_copies.get(&slot).is_none_or(|c| *c < 2);
             if is_sole && self.waiting.due.contains(&slot) {
                 return None;
@@ -200,7 +200,7 @@
         let order = |a: &([bool; 4], f32, _), b: &([bool; 4], f32, _)| {
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
         };
-        let ([_, is_new, ..], work, least) = missed.min_by(order)?;
+        let ([_, is_new, ..], work, least) = candidates.min_by(order)?;
         (eviction_scope != EvictionScope::Idle || (work == 0.0 && !is_new)).then_some(least)
     }
 }
--- a/crates/fleet/src/best_move.rs
+++ b/crates/fleet/src/best_move.rs
@@ -81,7 +81,7 @@
 
     /// Collects the engines that may load the model, each with its possible victims.
     fn collect_candidates(&self, draft: &Draft<'a>, model: usize, out: &mut Vec<Candidate>) {
-        let rule = self.snapshot.models[model].1;
+        let profile = self.snapshot.models[model].1;
         // No caller waits for an idle model; it only gets free memory.
         let is_idle = self.snapshot.is_idle(model);
         let lost_rate = self.later.lost_rate_of(model);
@@ -107,7 +107,7 @@
                     estimate,
                 });
             };
-            if draft.has_room(engine, rule) {
+            if draft.has_room(engine, profile) {
                 add(None);
             } else if !is_idle {
                 let victims = &self.snapshot.engines[engine].summary.serving;
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -124,7 +124,7 @@
         absent_loss: &[f64],
     ) -> Self {
         let replica = |e: &usize| ReplicaLoad::at(*e);
-        let mut flow = Self {
+        let mut distribution = Self {
             loads: vec![Load::default(); engines],
             replicas: held
                 .iter()
@@ -135,12 +135,12 @@
             ..Self::default()
         };
         for _ in 0..ROUNDS {
-            for model in 0..flow.replicas.len() {
-                flow.clear_work(model);
-                flow.distribute(model);
+            for model in 0..distribution.replicas.len() {
+                distribution.clear_work(model);
+                distribution.distribute(model);
             }
         }
-        flow
+        distribution
     }
 
     /// The work on an engine.
--- a/crates/fleet/src/draft.rs
+++ b/crates/fleet/src/draft.rs
@@ -110,8 +110,8 @@
         (0..self.ordered.len()).filter(|p| self.is_free(*p))
     }
 
-    pub(crate) fn has_room(&self, index: usize, rule: &ModelProfile) -> bool {
-        rule.weights_size <= self.snapshot.engines[index].summary.room
+    pub(crate) fn has_room(&self, index: usize, profile: &ModelProfile) -> bool {
+        profile.weights_size <= self.snapshot.engines[index].summary.room
     }
 
     pub(crate) fn order(
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -236,12 +236,12 @@
 
     /// The memory that may be in use, in the worst case.
     pub(crate) fn worst_memory(&self, catalog: &Catalog) -> Megabytes {
-        let rule = |m: &Model| catalog.models.get(m);
+        let profile = |m: &Model| catalog.models.get(m);
         let models = self.worst_models().into_iter();
-        let weights: u64 = models.filter_map(rule).map(|r| r.weights_size.0).sum();
+        let weights: u64 = models.filter_map(profile).map(|r| r.weights_size.0).sum();
         let adapters = self.worst_adapters().into_iter();
         let adapters: u64 = adapters
-            .filter_map(|(m, _)| rule(m))
+            .filter_map(|(m, _)| profile(m))
             .map(|r| r.adapter_size.0)
             .sum();
         Megabytes(weights + adapters)
@@ -447,11 +447,11 @@
     /// The time at which the pending order about weights is expected to be done, if there is one.
     pub(crate) fn busy_until(&self, catalog: &Catalog) -> Option<Millis> {
         let pending = self.pending.iter().find(|p| p.order.adapter.is_none())?;
-        let rule = catalog.models.get(&pending.order.model)?;
+        let profile = catalog.models.get(&pending.order.model)?;
         Some(
             pending
                 .sent
-                .plus(self.load_time(&pending.order.model, rule).0),
+                .plus(self.load_time(&pending.order.model, profile).0),
         )
     }
 
@@ -463,13 +463,13 @@
 
     /// The duration of a load of the model at this engine.
     #[must_use]
-    pub fn load_time(&self, model: &Model, rule: &ModelProfile) -> Millis {
+    pub fn load_time(&self, model: &Model, profile: &ModelProfile) -> Millis {
         if self.held.warm.contains(model) {
-            rule.warm_time
+            profile.warm_time
         } else if self.held.disk.contains(model) {
-            rule.disk_time
+            profile.disk_time
         } else {
-            rule.store_time
+            profile.store_time
         }
     }
 }
--- a/crates/fleet/src/exposure.rs
+++ b/crates/fleet/src/exposure.rs
@@ -19,7 +19,8 @@
         let probability = churn.leave_probability(longest.unwrap_or_default(), snapshot.now);
         let seconds = |time: Millis| time.0 as f64 / 1_000.0;
         let rates = models.iter().zip(&snapshot.rates);
-        let callers = rates.map(|((_, rule), a)| f64::from(a.count) * seconds(rule.store_time));
+        let callers =
+            rates.map(|((_, profile), a)| f64::from(a.count) * seconds(profile.store_time));
         Self {
             probabilities: snapshot
                 .engines
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -146,8 +146,8 @@
 
     /// Engines that must report what they hold before they can take orders.
     pub fn unconfirmed(&self) -> impl Iterator<Item = &Upstream> {
-        let unproven = |(_, e): &(&Upstream, &Engine)| !e.leaving && !e.is_confirmed();
-        self.engines.iter().filter(unproven).map(|(n, _)| n)
+        let unconfirmed = |(_, e): &(&Upstream, &Engine)| !e.leaving && !e.is_confirmed();
+        self.engines.iter().filter(unconfirmed).map(|(n, _)| n)
     }
 
     /// Whether an engine serves the adapter now.
--- a/crates/fleet/src/handover.rs
+++ b/crates/fleet/src/handover.rs
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Returns the engines that had an order within `rest`, and the time until which a new planner
+    /// Returns the engines that had an order within `cooldown`, and the time until which a new planner
     /// must not order them.
     #[must_use]
-    pub fn cooldowns(&self, rest: Millis, now: Millis) -> BTreeMap<Upstream, Millis> {
-        let until = self.sent.iter().map(|(e, at)| (e, at.plus(rest.0)));
-        let resting = until.filter(|(_, until)| *until > now);
-        resting.map(|(e, until)| (e.clone(), until)).collect()
+    pub fn cooldowns(&self, cooldown: Millis, now: Millis) -> BTreeMap<Upstream, Millis> {
+        let until = self.sent.iter().map(|(e, at)| (e, at.plus(cooldown.0)));
+        let cooldowns = until.filter(|(_, until)| *until > now);
+        cooldowns.map(|(e, until)| (e.clone(), until)).collect()
     }
 }
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -61,7 +61,7 @@
         valuation.evaluations_left = EVALUATION_LIMIT;
         let mut ranked = BinaryHeap::new();
         let mut found = 0;
-        for model in valuation.neediest() {
+        for model in valuation.models_by_loss() {
             if valuation.evaluations_left <= EVALUATION_LIMIT / FIRST_PASS_DIVISOR {
                 break;
             }
--- a/crates/fleet/src/planner_lease.rs
+++ b/crates/fleet/src/planner_lease.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    fn wait(&self) -> u64 {
+    fn takeover_delay(&self) -> u64 {
         self.validity.0 + self.cooldown().0
     }
 
@@ -220,7 +220,8 @@
         let recent = self
             .failures
             .filter(|(_, at)| last.since(*at) < FAILURE_SERIES_MS);
-        let unobserved = now.since(last).saturating_sub(SILENCE_MS) / self.settings.wait();
+        let unobserved =
+            now.since(last).saturating_sub(SILENCE_MS) / self.settings.takeover_delay();
         (recent.map_or(0, |(failures, _)| failures) + unobserved).min(MAX_FAILURES)
     }
 
@@ -245,13 +246,13 @@
         let (_, at) = self.last_renewal.filter(|_| self.fence(now).is_none())?;
         let elapsed = now.since(at);
         // A successor reads the end of the topic at an interval.
-        let remaining = self.settings.wait().saturating_sub(elapsed);
+        let remaining = self.settings.takeover_delay().saturating_sub(elapsed);
         let failures = self.failures_before(at, now);
         (elapsed >= GAP_THRESHOLD_MS).then_some(PlannerGap {
             elapsed: Millis(elapsed),
             remaining: Millis(remaining.max(self.settings.read_interval.0)),
             failures,
-            extra: Millis(failures * self.settings.wait()),
+            extra: Millis(failures * self.settings.takeover_delay()),
         })
     }
 
@@ -336,7 +337,7 @@
                     (None, _) => 0,
                     (_, true) if view.has_handover => 0,
                     (_, true) => self.settings.cooldown().0,
-                    _ => self.settings.wait(),
+                    _ => self.settings.takeover_delay(),
                 };
                 self.state = State::Waiting {
                     end: view.end,
--- a/crates/fleet/src/valuation.rs
+++ b/crates/fleet/src/valuation.rs
@@ -107,17 +107,17 @@
     }
 
     /// The models with the largest losses, without those that no move can improve enough.
-    pub(crate) fn neediest(&self) -> Vec<usize> {
+    pub(crate) fn models_by_loss(&self) -> Vec<usize> {
         let models = 0..self.snapshot.models.len();
-        let needs = models.filter_map(|m| Some((self.need(m)?, m)));
-        let mut needy: Vec<(f64, usize)> = needs.collect();
-        needy.sort_by(|a, b| b.0.total_cmp(&a.0));
-        needy.into_iter().map(|(_, model)| model).collect()
+        let losses = models.filter_map(|m| Some((self.loss_of_model(m)?, m)));
+        let mut ranked: Vec<(f64, usize)> = losses.collect();
+        ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
+        ranked.into_iter().map(|(_, model)| model).collect()
     }
 
     /// The requests a second that a model loses in the current state; none if all the losses on its
     /// engines are worth no move.
-    fn need(&self, model: usize) -> Option<f64> {
+    fn loss_of_model(&self, model: usize) -> Option<f64> {
         let expected_loss = self.expected_loss(model, None, None) / HORIZON_S;
         let around = self.soon.lost_rate_around(model);
         let around = around.max(self.later.lost_rate_around(model));
@@ -195,11 +195,11 @@
     }
 
     pub(crate) fn load_time(&self, model: usize, engine: usize) -> Millis {
-        let rule = self.snapshot.models[model].1;
+        let profile = self.snapshot.models[model].1;
         match self.snapshot.engines[engine].summary.copy(model) {
-            Some(CopyKind::Warm) => rule.warm_time,
-            Some(CopyKind::Disk) => rule.disk_time,
-            None => rule.store_time,
+            Some(CopyKind::Warm) => profile.warm_time,
+            Some(CopyKind::Disk) => profile.disk_time,
+            None => profile.store_time,
         }
     }
 
--- a/crates/fleet/src/warmup.rs
+++ b/crates/fleet/src/warmup.rs
@@ -57,8 +57,8 @@
                 return;
             }
             let model = single[position];
-            let (name, rule) = snapshot.models[model];
-            if self.has_room(index, rule) {
+            let (name, profile) = snapshot.models[model];
+            if self.has_room(index, profile) {
                 self.order(index, OrderKind::Load, name, None);
             } else if let Some(victim) = self.most_served(engine) {
                 // The room is for a load that the next plan orders.
@@ -104,14 +104,15 @@
                 continue;
             }
             let lacks = engine.initial_models.iter().find(|m| !engine.will_serve(m));
-            let Some((model, rule)) = lacks.and_then(|m| snapshot.catalog.models.get_key_value(m))
+            let Some((model, profile)) =
+                lacks.and_then(|m| snapshot.catalog.models.get_key_value(m))
             else {
                 continue;
             };
-            if self.has_room(index, rule) {
+            if self.has_room(index, profile) {
                 self.order(index, OrderKind::Load, model, None);
-            } else if let Some(guest) = self.idle_guest(engine) {
-                self.order(index, OrderKind::Unload, guest, None);
+            } else if let Some(addition) = self.idle_addition(engine) {
+                self.order(index, OrderKind::Unload, addition, None);
             } else {
                 continue;
             }
@@ -120,7 +121,7 @@
     }
 
     /// A model without requests that the engine did not hold initially.
-    fn idle_guest(&self, engine: &'a Engine) -> Option<&'a Model> {
+    fn idle_addition(&self, engine: &'a Engine) -> Option<&'a Model> {
         let mut served = engine.serving().map(|(m, _)| m);
         served.find(|m| {
             let number = self.snapshot.model_index.get(m);
--- a/crates/fleet/src/window.rs
+++ b/crates/fleet/src/window.rs
@@ -86,7 +86,7 @@
 
     /// The number of loads that may begin in a window at `rate` a second.
     pub(crate) fn capacity(&self, rate: f64) -> usize {
-        let most = rate * (self.length.0 as f64 / 1_000.0) * self.over + BURST;
-        (most as usize).saturating_sub(RESERVE)
+        let limit = rate * (self.length.0 as f64 / 1_000.0) * self.over + BURST;
+        (limit as usize).saturating_sub(RESERVE)
     }
 }
--- a/crates/fleet/tests/replaced/main.rs
+++ b/crates/fleet/tests/replaced/main.rs
@@ -87,8 +87,11 @@
             .filter(|b| (from..from + 5_000).contains(*b))
             .count()
     };
-    let most = simulation.load_starts.iter().map(|b| within(*b)).max();
-    assert!(most <= Some(10), "{most:?} loads within five seconds");
+    let max_loads = simulation.load_starts.iter().map(|b| within(*b)).max();
+    assert!(
+        max_loads <= Some(10),
+        "{max_loads:?} loads within five seconds"
+    );
 }
 
 /// `e1` serves `m00`, which has 14 callers a second, and `m01`; `m02`, which has no requests, has
