--- a/crates/fleet/src/handover.rs
+++ b/crates/fleet/src/handover.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Returns the engines that had an order within `cooldown`, and the time until which a new planner
-    /// must not order them.
+    /// Returns the engines that had an order within `cooldown`, and the time until which a new
+    /// planner must not order them.
     #[must_use]
     pub fn cooldowns(&self, cooldown: Millis, now: Millis) -> BTreeMap<Upstream, Millis> {
         let until = self.sent.iter().map(|(e, at)| (e, at.plus(cooldown.0)));
