--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,15 +1,15 @@
 //! Gives orders to engines and checks their results.
 
+use bytes::Bytes;
+use crate::Call;
 use crate::attempt::idle_timeout;
 use crate::journal::emit;
 use crate::message::PlannerUpdate;
 use crate::planner::PlannerState;
 use crate::state::Gateway;
-use crate::Call;
-use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, StatusCode};
+use hyper::header::{HOST, HeaderValue};
 use shaleline_fleet::{Held, Order, OrderKind, OrderReply};
 use shaleline_types::{LogEvent, Millis, Service, Upstream};
 use std::rc::Rc;
@@ -82,7 +82,7 @@
     gw.with_fleet(&order.engine, |f| f.record_reply(order, reply, gw.now()));
     match reply {
         // An adapter that is dropped at once needs no check: its slot may already be in use again.
-        OrderReply::Done if order.drops_adapter() => {}
+        OrderReply::Done if order.unloads_adapter() => {}
         // What an engine reports is some hundred milliseconds old.
         OrderReply::Done | OrderReply::Conflict => {
             tokio::time::sleep(CHECK_INTERVAL).await;
