--- a/crates/faults/src/route_run.rs
+++ b/crates/faults/src/route_run.rs
@@ -292,10 +292,10 @@
     fn check_places(&self, upstream: &Upstream, now: Millis, tally: &mut Tally) {
         let all = self.router.upstreams(now);
         for back in all.iter().filter(|b| b.name == upstream.as_str()) {
-            tally.check(Invariant::Limits, back.flights <= back.slots + 1, || {
+            tally.check(Invariant::Limits, back.in_flight <= back.slots + 1, || {
                 format!(
                     "{} has {} requests, {} places",
-                    back.name, back.flights, back.slots
+                    back.name, back.in_flight, back.slots
                 )
             });
         }
--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -274,7 +274,7 @@
         };
         let mut allowances = self.allowances.borrow_mut();
         let now = self.now();
-        allowances.granter.give_back(org, &allowance, amount, now);
+        allowances.granter.refund(org, &allowance, amount, now);
     }
 
     /// Takes over the part of the allowances that this daemon keeps now.
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -88,7 +88,7 @@
     let upstreams = gw.router.borrow().upstreams(now);
     let upstream = |u: &shaleline_route::UpstreamStats| {
         json!({
-            "name": u.name, "centre": u.centre, "flights": u.flights, "busy": u.busy,
+            "name": u.name, "centre": u.centre, "flights": u.in_flight, "busy": u.busy,
             "slots": u.slots, "leaving": u.leaving, "healthy": u.healthy,
         })
     };
--- a/crates/route/src/allocator.rs
+++ b/crates/route/src/allocator.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// The longest time to come back that is told: callers do not wait longer.
-const MOST_WAIT: Millis = Millis(5_000);
+const MAX_RETRY_AFTER: Millis = Millis(5_000);
 
 /// The part of all allowances that a granter keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,17 +43,17 @@
 struct Account {
     bucket: Bucket,
     /// Callers who were sent away come back one after the other, up to this time.
-    booked: Millis,
+    reserved_until: Millis,
 }
 
 /// What one granter has left for each organisation.
 #[derive(Debug)]
 pub struct Allocator {
-    part: AllocatorShare,
+    share: AllocatorShare,
     /// For how many seconds it has kept all there is, a part counted as a part of the time.
-    kept: f64,
+    full_seconds: f64,
     /// Up to when that is counted.
-    counted: Millis,
+    counted_until: Millis,
     tolerance: Tolerance,
     accounts: HashMap<Org, Account>,
 }
@@ -63,9 +63,9 @@
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
-            part: AllocatorShare::NONE,
-            kept: 0.0,
-            counted: Millis(0),
+            share: AllocatorShare::NONE,
+            full_seconds: 0.0,
+            counted_until: Millis(0),
             tolerance,
             accounts: HashMap::new(),
         }
@@ -80,31 +80,31 @@
     /// what an organisation may use, none where there is no limit or no such organisation.
     pub fn set_share(
         &mut self,
-        part: AllocatorShare,
+        share: AllocatorShare,
         allowance_of: impl Fn(&Org) -> Option<Allowance>,
         now: Millis,
     ) {
-        let (before, tolerance) = (self.part, self.tolerance);
-        self.count(now);
-        if part.fraction <= 0.0 {
-            self.kept = 0.0;
+        let (before, tolerance) = (self.share, self.tolerance);
+        self.count_time(now);
+        if share.fraction <= 0.0 {
+            self.full_seconds = 0.0;
         }
         self.accounts.retain(|org, account| {
             let allowance = allowance_of(org);
             if let Some(allowance) = allowance {
                 refill(account, &allowance, before, tolerance, now);
                 // A smaller part holds less.
-                refill(account, &allowance, part, tolerance, now);
+                refill(account, &allowance, share, tolerance, now);
             }
             allowance.is_some()
         });
-        self.part = part;
+        self.share = share;
     }
 
     /// The part that it keeps.
     #[must_use]
     pub fn share(&self) -> AllocatorShare {
-        self.part
+        self.share
     }
 
     /// Answers a daemon that needs `need` for a request and holds `held` in advance.
@@ -116,37 +116,37 @@
         held: u64,
         now: Millis,
     ) -> GrantResponse {
-        let (part, tolerance) = (self.part, self.tolerance);
-        if part.fraction <= 0.0 {
+        let (share, tolerance) = (self.share, self.tolerance);
+        if share.fraction <= 0.0 {
             return GrantResponse::NoShare;
         }
         let account = self.account(org, allowance, now);
-        refill(account, allowance, part, tolerance, now);
+        refill(account, allowance, share, tolerance, now);
         let cost = need as f64;
-        let most = capacity(allowance, part, tolerance);
-        let uses = tolerance.uses(allowance, part.daemons);
+        let max_level = capacity(allowance, share, tolerance);
+        let split = tolerance.split(allowance, share.daemons);
         // A request that is larger than all it may hold goes into debt.
-        let least = cost.min(most).max(cost - uses.debt * part.fraction);
+        let least = cost.min(max_level).max(cost - split.debt * share.fraction);
         if account.bucket.level() >= least {
             account.bucket.take(cost);
-            let credit = uses.credit - held as f64;
+            let credit = split.credit - held as f64;
             // What others may need at once is not given away in advance.
-            let spare = account.bucket.level() - most / 2.0;
+            let spare = account.bucket.level() - max_level / 2.0;
             let advance = credit.min(spare).max(0.0).floor();
             account.bucket.take(advance);
             return GrantResponse::Granted(need + advance as u64);
         }
-        if least > most {
-            return GrantResponse::Denied(MOST_WAIT);
+        if least > max_level {
+            return GrantResponse::Denied(MAX_RETRY_AFTER);
         }
-        GrantResponse::Denied(book(account, allowance, part, least, now))
+        GrantResponse::Denied(reserve_retry(account, allowance, share, least, now))
     }
 
     /// Takes back what was granted for a request that did not run.
-    pub fn give_back(&mut self, org: &Org, allowance: &Allowance, amount: u64, now: Millis) {
-        let most = capacity(allowance, self.part, self.tolerance);
+    pub fn refund(&mut self, org: &Org, allowance: &Allowance, amount: u64, now: Millis) {
+        let max_level = capacity(allowance, self.share, self.tolerance);
         let account = self.account(org, allowance, now);
-        account.bucket.put_back(amount as f64, most);
+        account.bucket.put_back(amount as f64, max_level);
     }
 
     /// What is left for each organisation, for operators.
@@ -155,58 +155,58 @@
     }
 
     /// Counts for how long it has kept what it keeps.
-    fn count(&mut self, now: Millis) {
-        let seconds = now.since(self.counted) as f64 / 1_000.0;
-        self.kept += seconds * self.part.fraction;
-        self.counted = now;
+    fn count_time(&mut self, now: Millis) {
+        let seconds = now.since(self.counted_until) as f64 / 1_000.0;
+        self.full_seconds += seconds * self.share.fraction;
+        self.counted_until = now;
     }
 
     /// What was used before this granter kept its part is not known: a new account has what came
     /// in since.
     fn account(&mut self, org: &Org, allowance: &Allowance, now: Millis) -> &mut Account {
-        self.count(now);
-        let earned = allowance.rate * self.kept;
-        let most = capacity(allowance, self.part, self.tolerance);
+        self.count_time(now);
+        let earned = allowance.rate * self.full_seconds;
+        let max_level = capacity(allowance, self.share, self.tolerance);
         self.accounts.entry(org.clone()).or_insert_with(|| Account {
-            bucket: Bucket::new(earned.min(most), now),
-            booked: now,
+            bucket: Bucket::new(earned.min(max_level), now),
+            reserved_until: now,
         })
     }
 }
 
 /// The most that a part of an allowance holds at once.
-fn capacity(allowance: &Allowance, part: AllocatorShare, tolerance: Tolerance) -> f64 {
-    let uses = tolerance.uses(allowance, part.daemons);
-    (allowance.burst + uses.storage) * part.fraction
+fn capacity(allowance: &Allowance, share: AllocatorShare, tolerance: Tolerance) -> f64 {
+    let split = tolerance.split(allowance, share.daemons);
+    (allowance.burst + split.storage) * share.fraction
 }
 
 fn refill(
     account: &mut Account,
     allowance: &Allowance,
-    part: AllocatorShare,
+    share: AllocatorShare,
     tolerance: Tolerance,
     now: Millis,
 ) {
-    let most = capacity(allowance, part, tolerance);
-    let rate = allowance.rate * part.fraction;
-    account.bucket.refill(rate, most, now);
+    let max_level = capacity(allowance, share, tolerance);
+    let rate = allowance.rate * share.fraction;
+    account.bucket.refill(rate, max_level, now);
 }
 
 /// When to come back: each caller after the one before, so that they do not come all at once.
-fn book(
+fn reserve_retry(
     account: &mut Account,
     allowance: &Allowance,
-    part: AllocatorShare,
+    share: AllocatorShare,
     need: f64,
     now: Millis,
 ) -> Millis {
-    let rate = allowance.rate * part.fraction;
+    let rate = allowance.rate * share.fraction;
     let Some(wait) = account.bucket.wait(need, rate) else {
-        return MOST_WAIT;
+        return MAX_RETRY_AFTER;
     };
-    let latest = now.plus(MOST_WAIT.0);
-    let at = now.plus(wait.0).max(account.booked).min(latest);
+    let latest = now.plus(MAX_RETRY_AFTER.0);
+    let at = now.plus(wait.0).max(account.reserved_until).min(latest);
     let takes = (need * 1_000.0 / rate).ceil() as u64;
-    account.booked = at.plus(takes).min(latest);
+    account.reserved_until = at.plus(takes).min(latest);
     Millis(at.since(now).max(1))
 }
--- a/crates/route/src/breaker.rs
+++ b/crates/route/src/breaker.rs
@@ -3,9 +3,9 @@
 use shaleline_types::Millis;
 
 /// Failures in a row that open a breaker.
-const FAILURES: u32 = 5;
-const COOL_FIRST: u64 = 1_000;
-const COOL_MOST: u64 = 30_000;
+const MAX_FAILURES: u32 = 5;
+const MIN_COOLDOWN_MS: u64 = 1_000;
+const MAX_COOLDOWN_MS: u64 = 30_000;
 
 /// Counts failures in a row. Hanging requests are counted while they hang, not when they
 /// time out: waiting for timeouts left a dead channel in the way for its whole timeout in
@@ -14,24 +14,24 @@
 pub(crate) struct Breaker {
     failures: u32,
     opened: Option<Millis>,
-    cool: u64,
+    cooldown: u64,
     probing: bool,
 }
 
 /// Whether and how much an upstream may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Gate {
+pub(crate) enum BreakerState {
+    Closed,
+    HalfOpen,
     Open,
-    Probe,
-    Shut,
 }
 
 impl Breaker {
-    pub(crate) fn gate(&self, now: Millis) -> Gate {
+    pub(crate) fn state(&self, now: Millis) -> BreakerState {
         match self.opened {
-            None => Gate::Open,
-            Some(at) if now.since(at) >= self.cool && !self.probing => Gate::Probe,
-            Some(_) => Gate::Shut,
+            None => BreakerState::Closed,
+            Some(at) if now.since(at) >= self.cooldown && !self.probing => BreakerState::HalfOpen,
+            Some(_) => BreakerState::Open,
         }
     }
 
@@ -52,11 +52,11 @@
     pub(crate) fn on_failure(&mut self, now: Millis) -> bool {
         self.failures += 1;
         let was_open = self.opened.is_some();
-        if self.failures < FAILURES && !was_open {
+        if self.failures < MAX_FAILURES && !was_open {
             return false;
         }
         if !was_open || self.probing {
-            self.cool = (self.cool * 2).clamp(COOL_FIRST, COOL_MOST);
+            self.cooldown = (self.cooldown * 2).clamp(MIN_COOLDOWN_MS, MAX_COOLDOWN_MS);
             self.opened = Some(now);
             self.probing = false;
         }
@@ -65,12 +65,12 @@
 
     /// Opens it at once: requests hang there.
     pub(crate) fn trip(&mut self, now: Millis) -> bool {
-        self.failures = FAILURES;
+        self.failures = MAX_FAILURES;
         self.on_failure(now)
     }
 
     /// A probe ended without saying anything of the upstream.
-    pub(crate) fn on_neutral(&mut self) {
+    pub(crate) fn on_inconclusive(&mut self) {
         self.probing = false;
     }
 }
--- a/crates/route/src/bucket.rs
+++ b/crates/route/src/bucket.rs
@@ -16,10 +16,10 @@
     }
 
     /// Adds what `rate` gives in a second, up to `most`.
-    pub(crate) fn refill(&mut self, rate: f64, most: f64, now: Millis) {
+    pub(crate) fn refill(&mut self, rate: f64, capacity: f64, now: Millis) {
         let gained = now.since(self.last) as f64 * rate / 1_000.0;
         self.last = self.last.max(now);
-        self.level = (self.level + gained).min(most);
+        self.level = (self.level + gained).min(capacity);
     }
 
     pub(crate) fn level(&self) -> f64 {
@@ -34,16 +34,16 @@
         self.level -= amount;
     }
 
-    pub(crate) fn put_back(&mut self, amount: f64, most: f64) {
-        self.level = (self.level + amount).min(most);
+    pub(crate) fn put_back(&mut self, amount: f64, capacity: f64) {
+        self.level = (self.level + amount).min(capacity);
     }
 
     /// How long until it holds `need`; without end where nothing comes in.
     pub(crate) fn wait(&self, need: f64, rate: f64) -> Option<Millis> {
-        let lack = need - self.level;
-        if lack <= 0.0 {
+        let missing = need - self.level;
+        if missing <= 0.0 {
             return Some(Millis(0));
         }
-        (rate > 0.0).then(|| Millis((lack * 1_000.0 / rate).ceil() as u64))
+        (rate > 0.0).then(|| Millis((missing * 1_000.0 / rate).ceil() as u64))
     }
 }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,6 +1,6 @@
 //! The choice among the upstreams that have room.
 
-use crate::upstream::Back;
+use crate::upstream::UpstreamState;
 use crate::RouteRequest;
 use shaleline_types::{DataCentre, Millis, Upstream};
 
@@ -18,11 +18,11 @@
 
 /// What a request there costs in comparison, in milliseconds.
 const OTHER_CENTRE_MS: f64 = 1.0;
-const FULL_MS: f64 = 400.0;
+const FULL_LOAD_MS: f64 = 400.0;
 
 /// With no more than this part of the pace ahead, a large prompt may be sent: it would not
 /// find less later.
-const ALONE_PART: f64 = 0.1;
+const EMPTY_BACKLOG_SHARE: f64 = 0.1;
 
 /// What a failure costs the caller: the time until its own retry.
 const FAILURE_MS: f64 = 2_000.0;
@@ -56,64 +56,71 @@
 pub(crate) struct Chooser<'a> {
     pub(crate) choice: ChoicePolicy,
     pub(crate) home: &'a DataCentre,
-    pub(crate) turn: u64,
+    pub(crate) send_count: u64,
     /// What one uncached token costs, in milliseconds.
-    pub(crate) token: f64,
+    pub(crate) token_ms: f64,
     /// See [`crate::PeerVisibility::own_share`].
     pub(crate) own_share: f64,
     pub(crate) now: Millis,
 }
 
 impl Chooser<'_> {
-    pub(crate) fn cost(&self, back: &Back, ask: &RouteRequest, index: usize, of: usize) -> f64 {
+    pub(crate) fn cost(
+        &self,
+        state: &UpstreamState,
+        request: &RouteRequest,
+        index: usize,
+        of: usize,
+    ) -> f64 {
         match self.choice {
-            ChoicePolicy::Expected => self.expected(back, ask),
-            ChoicePolicy::Reported => (back.load.running + back.load.waiting) as f64,
+            ChoicePolicy::Expected => self.expected(state, request),
+            ChoicePolicy::Reported => (state.load.running + state.load.waiting) as f64,
             ChoicePolicy::RoundRobin => {
                 let of = of.max(1);
-                ((index + of - (self.turn as usize % of)) % of) as f64
+                ((index + of - (self.send_count as usize % of)) % of) as f64
             }
         }
     }
 
     /// Whether the request may be sent there at all: one that would wait too long is
     /// better refused while its caller has time to come back.
-    pub(crate) fn allows(&self, back: &Back, ask: &RouteRequest) -> bool {
-        let most = ask.policy.max_expected;
-        let in_time = most.is_none_or(|m| self.time(back, ask) <= m.0 as f64);
-        in_time && self.keeps_pace(back, ask)
+    pub(crate) fn allows(&self, state: &UpstreamState, request: &RouteRequest) -> bool {
+        let max_expected = request.policy.max_expected;
+        let in_time = max_expected.is_none_or(|m| self.first_byte_ms(state, request) <= m.0 as f64);
+        in_time && self.fits_backlog(state, request)
     }
 
     /// Whether the prompt leaves the streams that run there without a long pause.
-    fn keeps_pace(&self, back: &Back, ask: &RouteRequest) -> bool {
-        let Some(pace) = ask.policy.backlog_limit else {
+    fn fits_backlog(&self, state: &UpstreamState, request: &RouteRequest) -> bool {
+        let Some(limit) = request.policy.backlog_limit else {
             return true;
         };
-        let ahead = back.backlog(false, self.now);
-        let pace = pace.0 as f64;
-        let own = back.own_load().backlog;
-        let room = own <= pace * self.own_share;
-        ahead <= pace * ALONE_PART || (room && ahead + self.work(back, ask) <= pace)
+        let ahead = state.backlog(false, self.now);
+        let limit = limit.0 as f64;
+        let own = state.own_load().backlog;
+        let room = own <= limit * self.own_share;
+        ahead <= limit * EMPTY_BACKLOG_SHARE
+            || (room && ahead + self.prompt_ms(state, request) <= limit)
     }
 
     /// The time to the first byte, as far as prompts decide it.
-    pub(crate) fn time(&self, back: &Back, ask: &RouteRequest) -> f64 {
-        back.backlog(ask.policy.urgent, self.now) + self.work(back, ask)
+    pub(crate) fn first_byte_ms(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
+        state.backlog(request.policy.urgent, self.now) + self.prompt_ms(state, request)
     }
 
     /// The time that reading the request's own prompt takes there.
-    pub(crate) fn work(&self, back: &Back, ask: &RouteRequest) -> f64 {
-        back.cold(ask) * self.token * back.slowness.get(self.now)
+    pub(crate) fn prompt_ms(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
+        state.uncached_tokens(request) * self.token_ms * state.slowness.get(self.now)
     }
 
-    fn expected(&self, back: &Back, ask: &RouteRequest) -> f64 {
-        let fill = back.busy() as f64 / back.slots() as f64;
-        let far = if back.site.centre == *self.home {
+    fn expected(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
+        let fill = state.busy() as f64 / state.slots() as f64;
+        let far = if state.site.centre == *self.home {
             0.0
         } else {
             OTHER_CENTRE_MS
         };
-        let failing = back.failures.get(self.now) * FAILURE_MS;
-        self.time(back, ask) + fill * fill * FULL_MS + far + failing
+        let failing = state.failures.get(self.now) * FAILURE_MS;
+        self.first_byte_ms(state, request) + fill * fill * FULL_LOAD_MS + far + failing
     }
 }
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -24,21 +24,21 @@
 /// An end counts for so long; then the request may be tried at one upstream more. Long enough that
 /// a request that comes for good costs an engine every ten minutes and not every few seconds, and
 /// short enough that a mended engine needs no operator.
-const LIFE_MS: u64 = 600_000;
+const CRASH_LIFETIME_MS: u64 = 600_000;
 
 /// Two ends of one start that are told so far apart are two ends: an upstream that starts again
 /// takes more than a second, and its entry is known to daemons only some seconds later.
-const SAME_END_MS: u64 = 1_000;
+const SAME_CRASH_MS: u64 = 1_000;
 
 /// A cleared request is remembered for so long, so that notes that come late do not bring back what
 /// was cleared: several times what a daemon that was cut off needs to catch up.
 const CLEARED_MS: u64 = 60_000;
 
 /// The most requests that are kept: some 100 KB.
-const MOST_REQUESTS: usize = 1_024;
+const MAX_REQUESTS: usize = 1_024;
 
 /// The most requests of one caller. A caller that has more loses its own oldest ones.
-const MOST_OF_CALLER: usize = 32;
+const MAX_PER_CALLER: usize = 32;
 
 /// What is known of one request, as daemons tell each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -63,12 +63,12 @@
 }
 
 impl Known {
-    fn live(&self) -> impl Iterator<Item = &StartTag> {
+    fn active(&self) -> impl Iterator<Item = &StartTag> {
         self.ended.difference(&self.cleared)
     }
 
-    fn ends(&self) -> usize {
-        self.live().count()
+    fn crash_count(&self) -> usize {
+        self.active().count()
     }
 }
 
@@ -93,7 +93,7 @@
     /// How many upstreams ended under a request.
     #[must_use]
     pub fn crash_count(&self, request: &Fingerprint) -> usize {
-        self.known.get(request).map_or(0, Known::ends)
+        self.known.get(request).map_or(0, Known::crash_count)
     }
 
     /// Notes that an upstream ended under a request. Returns what to tell the others, where that is
@@ -122,7 +122,7 @@
             return start;
         };
         let mut distinct = start;
-        while now.since(known.since) >= SAME_END_MS && known.ended.contains(&distinct) {
+        while now.since(known.since) >= SAME_CRASH_MS && known.ended.contains(&distinct) {
             distinct = distinct.next();
         }
         distinct
@@ -132,7 +132,7 @@
     /// not its fault. Returns what to tell the others, where that is news.
     pub fn clear(&mut self, request: &Fingerprint, now: Millis) -> Option<CrashNote> {
         let known = self.known.get_mut(request)?;
-        if known.ends() == 0 {
+        if known.crash_count() == 0 {
             return None;
         }
         known.cleared.clone_from(&known.ended);
@@ -144,7 +144,7 @@
     pub fn merge(&mut self, note: &CrashNote, now: Millis) -> bool {
         let request = note.identity.request;
         let since = Millis(now.0.saturating_sub(u64::from(note.age)));
-        let old = now.since(since) >= LIFE_MS || note.ended.is_subset(&note.cleared);
+        let old = now.since(since) >= CRASH_LIFETIME_MS || note.ended.is_subset(&note.cleared);
         if !self.known.contains_key(&request) {
             if old && note.cleared.is_empty() {
                 return false;
@@ -192,15 +192,15 @@
     /// there once is mostly a bystander, and only whoever chooses upstreams needs to know it.
     #[must_use]
     pub fn repeated(&self, now: Millis) -> Vec<CrashNote> {
-        let grave = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
-        grave.filter_map(|(r, _)| self.note(r, now)).collect()
+        let repeated = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
+        repeated.filter_map(|(r, _)| self.note(r, now)).collect()
     }
 
     /// A number that differs where two daemons know differently of what concerns every daemon.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let grave = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
-        grave.fold(0, |sum: u64, (request, known)| {
+        let repeated = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
+        repeated.fold(0, |sum: u64, (request, known)| {
             let words = [
                 format!("{request:?}"),
                 format!("{:?}", known.ended),
@@ -214,17 +214,17 @@
     /// Drops what is too old, one end of each request at a time.
     pub fn tick(&mut self, now: Millis) {
         for known in self.known.values_mut() {
-            if now.since(known.since) < LIFE_MS {
+            if now.since(known.since) < CRASH_LIFETIME_MS {
                 continue;
             }
             // The same one in each daemon, whenever it looks.
-            let first = known.live().next().copied();
+            let first = known.active().next().copied();
             if let Some(first) = first {
                 known.cleared.insert(first);
                 known.since = now;
             }
         }
-        let keep = |k: &Known| k.ends() > 0 || now.since(k.since) < CLEARED_MS;
+        let keep = |k: &Known| k.crash_count() > 0 || now.since(k.since) < CLEARED_MS;
         self.known.retain(|_, k| keep(k));
     }
 
@@ -236,9 +236,9 @@
             .values()
             .for_each(|k| *counts.entry(k.caller).or_default() += 1);
         let own = counts.get(&caller).copied().unwrap_or(0);
-        let victim = if own >= MOST_OF_CALLER {
+        let victim = if own >= MAX_PER_CALLER {
             Some(caller)
-        } else if self.known.len() >= MOST_REQUESTS {
+        } else if self.known.len() >= MAX_REQUESTS {
             counts.iter().max_by_key(|(_, n)| **n).map(|(c, _)| *c)
         } else {
             None
@@ -247,7 +247,7 @@
             return;
         };
         let of_victim = self.known.iter().filter(|(_, k)| k.caller == victim);
-        let least = of_victim.min_by_key(|(_, k)| (k.ends(), u64::MAX - now.since(k.since)));
+        let least = of_victim.min_by_key(|(_, k)| (k.crash_count(), u64::MAX - now.since(k.since)));
         if let Some(request) = least.map(|(r, _)| *r) {
             self.known.remove(&request);
         }
@@ -256,21 +256,21 @@
     /// The requests that are not sent any more, or may soon not be, for operators.
     #[must_use]
     pub fn records(&self, now: Millis) -> Vec<CrashRecord> {
-        let live = self.known.iter().filter(|(_, k)| k.ends() > 0);
+        let active = self.known.iter().filter(|(_, k)| k.crash_count() > 0);
         let record = |(request, known): (&Fingerprint, &Known)| CrashRecord {
             request: *request,
-            ended: known.live().copied().collect(),
+            ended: known.active().copied().collect(),
             age: Millis(now.since(known.since)),
         };
-        live.map(record).collect()
+        active.map(record).collect()
     }
 
     /// How many requests are known, and how many of them are not sent any more.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        let ends = self.known.values().map(Known::ends);
-        let live: Vec<usize> = ends.filter(|e| *e > 0).collect();
-        let blocked = live.iter().filter(|e| **e >= MAX_CRASHES).count();
-        (live.len(), blocked)
+        let crash_count = self.known.values().map(Known::crash_count);
+        let active: Vec<usize> = crash_count.filter(|e| *e > 0).collect();
+        let blocked = active.iter().filter(|e| **e >= MAX_CRASHES).count();
+        (active.len(), blocked)
     }
 }
--- a/crates/route/src/credit.rs
+++ b/crates/route/src/credit.rs
@@ -43,14 +43,14 @@
     }
 
     /// Whether this granter would deny a request of this cost, and for how long.
-    fn denied(&self, granter: SocketAddr, org: &Org, cost: u64, now: Millis) -> Option<Millis> {
-        let denial = self.denied.get(&(granter, org.clone()))?;
+    fn denied(&self, allocator: SocketAddr, org: &Org, cost: u64, now: Millis) -> Option<Millis> {
+        let denial = self.denied.get(&(allocator, org.clone()))?;
         let holds = cost >= denial.cost && now < denial.until;
         holds.then(|| Millis(denial.until.since(now)))
     }
 
-    fn on_denied(&mut self, granter: SocketAddr, org: &Org, denial: Denial) {
-        self.denied.insert((granter, org.clone()), denial);
+    fn on_denied(&mut self, allocator: SocketAddr, org: &Org, denial: Denial) {
+        self.denied.insert((allocator, org.clone()), denial);
     }
 
     /// Forgets denials that are over.
@@ -78,7 +78,7 @@
     org: Org,
     cost: u64,
     /// Those that were not asked yet, the next one last.
-    left: Vec<SocketAddr>,
+    remaining: Vec<SocketAddr>,
     asked: Option<SocketAddr>,
     soonest: Option<Millis>,
 }
@@ -86,11 +86,11 @@
 impl GrantRequest {
     /// A request that may ask these, the first one first.
     #[must_use]
-    pub fn new(org: Org, cost: u64, granters: &[SocketAddr]) -> Self {
+    pub fn new(org: Org, cost: u64, allocators: &[SocketAddr]) -> Self {
         Self {
             org,
             cost,
-            left: granters.iter().rev().copied().collect(),
+            remaining: allocators.iter().rev().copied().collect(),
             asked: None,
             soonest: None,
         }
@@ -101,12 +101,12 @@
         if self.asked.is_none() && credits.take(&self.org, self.cost) {
             return GrantStep::Admit;
         }
-        while let Some(granter) = self.left.pop() {
-            match credits.denied(granter, &self.org, self.cost, now) {
+        while let Some(allocator) = self.remaining.pop() {
+            match credits.denied(allocator, &self.org, self.cost, now) {
                 Some(wait) => self.note_denied(wait),
                 None => {
-                    self.asked = Some(granter);
-                    return GrantStep::Query(granter);
+                    self.asked = Some(allocator);
+                    return GrantStep::Query(allocator);
                 }
             }
         }
@@ -135,10 +135,10 @@
             }
             GrantResponse::Denied(wait) => {
                 self.note_denied(wait);
-                if let Some(granter) = self.asked {
+                if let Some(allocator) = self.asked {
                     let until = now.plus(wait.0);
                     let cost = self.cost;
-                    credits.on_denied(granter, &self.org, Denial { cost, until });
+                    credits.on_denied(allocator, &self.org, Denial { cost, until });
                 }
                 self.next_step(credits, now)
             }
--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -24,7 +24,7 @@
 
 /// How long records may take to reach the log once no request is left. A key whose end
 /// does not get there is unknown to whoever repeats it, which is true.
-const RECORDS_WAIT: u64 = 10_000;
+const RECORDS_WAIT_MS: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
@@ -77,7 +77,7 @@
                 let idle = (left.requests == 0).then(|| self.idle.unwrap_or(now));
                 self.idle = idle;
                 let flushed = left.records == 0;
-                let done = idle.is_some_and(|i| flushed || now.since(i) >= RECORDS_WAIT);
+                let done = idle.is_some_and(|i| flushed || now.since(i) >= RECORDS_WAIT_MS);
                 let over = now.since(since) >= self.limit.0;
                 if !done && !over && Safeguard::DrainStop.active() {
                     return None;
--- a/crates/route/src/ending.rs
+++ b/crates/route/src/ending.rs
@@ -5,7 +5,7 @@
 use shaleline_types::{ErrorKind, Millis, RequestId, Safeguard, Upstream};
 
 /// How often a request is sent at the most, sends that reached nobody included.
-const MOST_SENDS: AttemptNumber = 6;
+const MAX_SENDS: AttemptNumber = 6;
 
 impl Router {
     /// Whether an answer belongs to the attempt that counts now.
@@ -31,18 +31,22 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        open.first |= first;
-        let Some(back) = open.at.as_ref().and_then(|u| self.backs.get_mut(u)) else {
+        open.first_byte |= first;
+        let Some(state) = open
+            .upstream
+            .as_ref()
+            .and_then(|u| self.upstreams.get_mut(u))
+        else {
             return;
         };
-        back.last_byte = now;
-        let Some(flight) = back.flights.get_mut(&id) else {
+        state.last_byte = now;
+        let Some(send) = state.in_flight.get_mut(&id) else {
             return;
         };
-        if !std::mem::replace(&mut flight.answered, true) && flight.work > 0.0 {
-            let ratio = ratio_of(now.since(flight.sent) as f64, flight.expected);
-            back.slowness.learn(ratio, now);
-            let route = &open.ask.route;
+        if !std::mem::replace(&mut send.answered, true) && send.work > 0.0 {
+            let ratio = ratio_of(now.since(send.sent) as f64, send.expected);
+            state.slowness.learn(ratio, now);
+            let route = &open.request.route;
             self.tokens.learn(route, ratio, self.settings.token_ms);
         }
     }
@@ -58,13 +62,13 @@
         if !self.is_current(id, attempt) {
             return;
         }
-        let Some(upstream) = self.open.get_mut(&id).and_then(|o| o.at.take()) else {
+        let Some(upstream) = self.open.get_mut(&id).and_then(|o| o.upstream.take()) else {
             return;
         };
-        self.judge_upstream(&upstream, id, end, now);
+        self.record_outcome(&upstream, id, end, now);
         match end {
             AttemptEnd::Whole => {
-                self.note_good_end(id, now);
+                self.record_success(id, now);
                 self.close(id);
             }
             AttemptEnd::Cancelled => self.close(id),
@@ -72,64 +76,64 @@
                 if let Some(open) = self.open.get_mut(&id) {
                     open.reached -= 1;
                 }
-                self.again(id, ErrorKind::NoUpstream, now, out);
+                self.retry_request(id, ErrorKind::NoUpstream, now, out);
             }
-            AttemptEnd::Refused => self.again(id, ErrorKind::NoUpstream, now, out),
-            AttemptEnd::Broken => self.again_if_repeatable(id, now, out),
+            AttemptEnd::Refused => self.retry_request(id, ErrorKind::NoUpstream, now, out),
+            AttemptEnd::Broken => self.retry_if_repeatable(id, now, out),
             AttemptEnd::UpstreamEnded(start) => {
-                let identity = self.open.get(&id).and_then(|o| o.ask.identity);
-                self.note_end(identity, start, now, out);
-                self.again_if_repeatable(id, now, out);
+                let identity = self.open.get(&id).and_then(|o| o.request.identity);
+                self.record_crash(identity, start, now, out);
+                self.retry_if_repeatable(id, now, out);
             }
         }
-        self.pump(&upstream, now, out);
+        self.dispatch_queued(&upstream, now, out);
     }
 
-    pub(crate) fn judge_upstream(
+    pub(crate) fn record_outcome(
         &mut self,
         upstream: &Upstream,
         id: RequestId,
         end: AttemptEnd,
         now: Millis,
     ) {
-        let Some(back) = self.backs.get_mut(upstream) else {
+        let Some(state) = self.upstreams.get_mut(upstream) else {
             return;
         };
-        back.on_end(id);
+        state.on_end(id);
         if let (AttemptEnd::Refused, Some(open)) = (end, self.open.get(&id)) {
-            back.note_refused(&open.ask.route, now);
+            state.record_refusal(&open.request.route, now);
         }
         match end {
             AttemptEnd::Whole => {
-                back.last_byte = now;
-                back.failures.note(0.0, now);
-                back.breaker.on_success();
+                state.last_byte = now;
+                state.failures.note(0.0, now);
+                state.breaker.on_success();
                 self.budget.on_success();
             }
             AttemptEnd::NotSent | AttemptEnd::Broken | AttemptEnd::UpstreamEnded(_) => {
-                back.failures.note(1.0, now);
-                self.stats.opened += u64::from(back.breaker.on_failure(now));
+                state.failures.note(1.0, now);
+                self.stats.opened += u64::from(state.breaker.on_failure(now));
             }
-            AttemptEnd::Refused | AttemptEnd::Cancelled => back.breaker.on_neutral(),
+            AttemptEnd::Refused | AttemptEnd::Cancelled => state.breaker.on_inconclusive(),
         }
     }
 
     pub(crate) fn close(&mut self, id: RequestId) {
         if let Some(open) = self.open.remove(&id) {
-            self.copies.remove(&open.ask);
-            self.limiter.finish(&open.ask.org, open.ask.cost);
+            self.copies.remove(&open.request);
+            self.limiter.finish(&open.request.org, open.request.cost);
         }
     }
 
-    pub(crate) fn give_up(&mut self, id: RequestId, kind: ErrorKind, out: &mut Vec<RouteAction>) {
+    pub(crate) fn fail(&mut self, id: RequestId, kind: ErrorKind, out: &mut Vec<RouteAction>) {
         if let Some(open) = self.open.remove(&id) {
-            self.copies.remove(&open.ask);
-            self.limiter.finish(&open.ask.org, 0);
+            self.copies.remove(&open.request);
+            self.limiter.finish(&open.request.org, 0);
             self.refuse(id, kind, None, out);
         }
     }
 
-    pub(crate) fn again_if_repeatable(
+    pub(crate) fn retry_if_repeatable(
         &mut self,
         id: RequestId,
         now: Millis,
@@ -138,15 +142,15 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        if open.ask.repeatable {
-            self.again(id, ErrorKind::BrokenStream, now, out);
+        if open.request.repeatable {
+            self.retry_request(id, ErrorKind::BrokenStream, now, out);
         } else {
-            self.give_up(id, ErrorKind::UpstreamFailed, out);
+            self.fail(id, ErrorKind::UpstreamFailed, out);
         }
     }
 
     /// Sends a request again, where attempts, budget and time allow it.
-    pub(crate) fn again(
+    pub(crate) fn retry_request(
         &mut self,
         id: RequestId,
         kind: ErrorKind,
@@ -156,18 +160,19 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let started = open.first;
-        let in_time = started || open.ask.due > now;
-        let most = open
-            .ask
+        let started = open.first_byte;
+        let in_time = started || open.request.due > now;
+        let max_attempts = open
+            .request
             .policy
             .max_attempts
             .unwrap_or(self.settings.max_attempts);
-        let left = open.reached < most && open.attempt < MOST_SENDS.max(self.settings.max_attempts);
+        let left =
+            open.reached < max_attempts && open.attempt < MAX_SENDS.max(self.settings.max_attempts);
         if left && in_time && self.budget.take() {
-            self.place(id, now, out);
+            self.dispatch(id, now, out);
         } else {
-            self.give_up(id, kind, out);
+            self.fail(id, kind, out);
         }
     }
 
@@ -175,38 +180,38 @@
         let Some(open) = self.open.remove(&id) else {
             return;
         };
-        self.copies.remove(&open.ask);
-        self.limiter.finish(&open.ask.org, open.ask.cost);
-        let Some(upstream) = open.at else {
-            self.unqueue(&open.ask);
+        self.copies.remove(&open.request);
+        self.limiter.finish(&open.request.org, open.request.cost);
+        let Some(upstream) = open.upstream else {
+            self.dequeue(&open.request);
             return;
         };
-        if let Some(back) = self.backs.get_mut(&upstream) {
-            back.on_end(id);
-            back.breaker.on_neutral();
+        if let Some(state) = self.upstreams.get_mut(&upstream) {
+            state.on_end(id);
+            state.breaker.on_inconclusive();
         }
         out.push(RouteAction::Cancel {
             id,
             attempt: open.attempt,
             upstream: upstream.clone(),
         });
-        self.pump(&upstream, now, out);
+        self.dispatch_queued(&upstream, now, out);
     }
 
-    pub(crate) fn unqueue(&mut self, ask: &RouteRequest) {
-        if let Some(queue) = self.queues.get_mut(&ask.route) {
-            queue.remove(ask.priority, &ask.org, ask.id);
+    pub(crate) fn dequeue(&mut self, request: &RouteRequest) {
+        if let Some(queue) = self.queues.get_mut(&request.route) {
+            queue.remove(request.priority, &request.org, request.id);
         }
     }
 
     pub(crate) fn removed(&mut self, upstream: &Upstream, now: Millis, out: &mut Vec<RouteAction>) {
-        let Some(back) = self.backs.remove(upstream) else {
+        let Some(state) = self.upstreams.remove(upstream) else {
             return;
         };
-        for id in back.flights.into_keys() {
+        for id in state.in_flight.into_keys() {
             if let Some(open) = self.open.get_mut(&id) {
-                open.at = None;
-                self.again_if_repeatable(id, now, out);
+                open.upstream = None;
+                self.retry_if_repeatable(id, now, out);
             }
         }
     }
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -13,18 +13,18 @@
 const UPSTREAM_STEP: f64 = 0.2;
 
 /// One observation counts at most so many times more or less than expected.
-const MOST_RATIO: f64 = 4.0;
+const MAX_RATIO: f64 = 4.0;
 
 /// The figures stay within these bounds, however odd the observations.
 const TOKEN_BOUNDS: (f64, f64) = (0.002, 5.0);
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 20.0);
 
 /// Observations below this are noise of timers and of the network.
-const LEAST_MS: f64 = 2.0;
+const MIN_MS: f64 = 2.0;
 
 /// Half of an upstream's measured slowness is forgotten in so many milliseconds, so that
 /// one that was slow is tried again.
-const FORGET_MS: f64 = 5_000.0;
+const HALF_LIFE_MS: f64 = 5_000.0;
 
 /// What a prompt token costs, by what is asked for.
 #[derive(Debug, Default)]
@@ -67,7 +67,7 @@
 
 impl Slowness {
     pub(crate) fn get(&self, now: Millis) -> f64 {
-        let kept = 0.5_f64.powf(now.since(self.at) as f64 / FORGET_MS);
+        let kept = 0.5_f64.powf(now.since(self.at) as f64 / HALF_LIFE_MS);
         self.factor.powf(kept)
     }
 
@@ -80,6 +80,6 @@
 
 /// How much longer than expected something took, bounded.
 pub(crate) fn ratio_of(elapsed: f64, expected: f64) -> f64 {
-    let ratio = elapsed.max(LEAST_MS) / expected.max(LEAST_MS);
-    ratio.clamp(1.0 / MOST_RATIO, MOST_RATIO)
+    let ratio = elapsed.max(MIN_MS) / expected.max(MIN_MS);
+    ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO)
 }
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -12,71 +12,71 @@
 //! * A request under which three ended is not sent any more.
 
 use crate::crashes::{CrashNote, Crashes, MAX_CRASHES};
-use crate::upstream::Back;
+use crate::upstream::UpstreamState;
 use crate::{RouteAction, RouteRequest, Router};
 use shaleline_types::{ErrorKind, Fingerprint, Identity, Millis, RequestId, StartTag, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A request under which so many upstreams ended runs apart from others of its kind.
-const APART_ENDS: usize = MAX_CRASHES - 1;
+const ISOLATION_CRASHES: usize = MAX_CRASHES - 1;
 
 /// A request of which a copy has ended well so short a time ago is sound: many callers may ask for
 /// the same thing at once, such as the state of a service, and need all its upstreams.
-const SOUND_MS: u64 = 60_000;
+const HARMLESS_MS: u64 = 60_000;
 
 /// The most requests that are remembered as sound.
-const MOST_SOUND: usize = 1_024;
+const MAX_HARMLESS: usize = 1_024;
 
 /// The requests that are open, by what they have in common with other attempts.
 #[derive(Debug, Default)]
 pub(crate) struct Copies {
     open: BTreeMap<Fingerprint, BTreeSet<RequestId>>,
     /// Those of which one copy ended well while others were open, and when.
-    sound: BTreeMap<Fingerprint, Millis>,
+    harmless: BTreeMap<Fingerprint, Millis>,
 }
 
 impl Copies {
-    pub(crate) fn insert(&mut self, ask: &RouteRequest) {
-        if let Some(identity) = ask.identity {
+    pub(crate) fn insert(&mut self, request: &RouteRequest) {
+        if let Some(identity) = request.identity {
             let ids = self.open.entry(identity.request).or_default();
-            ids.insert(ask.id);
+            ids.insert(request.id);
         }
     }
 
-    fn note_sound(&mut self, request: Fingerprint, now: Millis) {
-        let several = self.open.get(&request).is_some_and(|ids| ids.len() > 1);
-        if several && self.sound.len() < MOST_SOUND {
-            self.sound.insert(request, now);
+    fn record_harmless(&mut self, fingerprint: Fingerprint, now: Millis) {
+        let several = self.open.get(&fingerprint).is_some_and(|ids| ids.len() > 1);
+        if several && self.harmless.len() < MAX_HARMLESS {
+            self.harmless.insert(fingerprint, now);
         }
     }
 
     /// Whether no other copy of a request is open.
-    fn is_single(&self, request: &Fingerprint) -> bool {
-        self.open.get(request).is_none_or(|ids| ids.len() == 1)
+    fn is_single(&self, fingerprint: &Fingerprint) -> bool {
+        self.open.get(fingerprint).is_none_or(|ids| ids.len() == 1)
     }
 
-    fn is_sound(&self, request: &Fingerprint) -> bool {
-        self.sound.contains_key(request)
+    fn is_harmless(&self, fingerprint: &Fingerprint) -> bool {
+        self.harmless.contains_key(fingerprint)
     }
 
     fn prune(&mut self, now: Millis) {
-        self.sound.retain(|_, at| now.since(*at) < SOUND_MS);
+        self.harmless.retain(|_, at| now.since(*at) < HARMLESS_MS);
     }
 
-    pub(crate) fn remove(&mut self, ask: &RouteRequest) {
-        let Some(identity) = ask.identity else {
+    pub(crate) fn remove(&mut self, request: &RouteRequest) {
+        let Some(identity) = request.identity else {
             return;
         };
         if let Some(ids) = self.open.get_mut(&identity.request) {
-            ids.remove(&ask.id);
+            ids.remove(&request.id);
             if ids.is_empty() {
                 self.open.remove(&identity.request);
             }
         }
     }
 
-    fn of(&self, request: &Fingerprint) -> impl Iterator<Item = &RequestId> {
-        self.open.get(request).into_iter().flatten()
+    fn of(&self, fingerprint: &Fingerprint) -> impl Iterator<Item = &RequestId> {
+        self.open.get(fingerprint).into_iter().flatten()
     }
 }
 
@@ -89,8 +89,9 @@
 
     /// How many upstreams ended under a request.
     #[must_use]
-    pub fn crash_count(&self, ask: &RouteRequest) -> usize {
-        ask.identity
+    pub fn crash_count(&self, request: &RouteRequest) -> usize {
+        request
+            .identity
             .map_or(0, |i| self.crashes.crash_count(&i.request))
     }
 
@@ -117,8 +118,8 @@
     }
 
     /// Forgets what ended under a request: an operator says that it is sound.
-    pub fn clear_crashes(&mut self, request: &Fingerprint, now: Millis) {
-        let note = self.crashes.clear(request, now);
+    pub fn clear_crashes(&mut self, fingerprint: &Fingerprint, now: Millis) {
+        let note = self.crashes.clear(fingerprint, now);
         self.crash_notes.extend(note);
     }
 
@@ -128,7 +129,7 @@
     }
 
     /// Notes that an upstream ended under a request.
-    pub(crate) fn note_end(
+    pub(crate) fn record_crash(
         &mut self,
         identity: Option<Identity>,
         start: StartTag,
@@ -144,36 +145,37 @@
     }
 
     /// Notes that a request ended well.
-    pub(crate) fn note_good_end(&mut self, id: RequestId, now: Millis) {
-        let identity = self.open.get(&id).and_then(|o| o.ask.identity);
+    pub(crate) fn record_success(&mut self, id: RequestId, now: Millis) {
+        let identity = self.open.get(&id).and_then(|o| o.request.identity);
         if let Some(identity) = identity {
-            self.copies.note_sound(identity.request, now);
+            self.copies.record_harmless(identity.request, now);
             self.clear_crashes(&identity.request, now);
         }
     }
 
     /// Whether a request may not be sent any more.
-    pub(crate) fn is_blocked(&self, ask: &RouteRequest) -> bool {
-        self.crash_count(ask) >= MAX_CRASHES
+    pub(crate) fn is_blocked(&self, request: &RouteRequest) -> bool {
+        self.crash_count(request) >= MAX_CRASHES
     }
 
     /// Gives up what is open of a request that may not be sent any more: it may still wait its turn
     /// at an upstream, which need not end as well.
-    fn stop_blocked(&mut self, request: &Fingerprint, out: &mut Vec<RouteAction>) {
-        if self.crashes.crash_count(request) < MAX_CRASHES {
+    fn stop_blocked(&mut self, fingerprint: &Fingerprint, out: &mut Vec<RouteAction>) {
+        if self.crashes.crash_count(fingerprint) < MAX_CRASHES {
             return;
         }
-        let ids: Vec<RequestId> = self.copies.of(request).copied().collect();
+        let ids: Vec<RequestId> = self.copies.of(fingerprint).copied().collect();
         for id in ids {
             let Some(open) = self.open.get(&id) else {
                 continue;
             };
-            let (ask, at, attempt) = (open.ask.clone(), open.at.clone(), open.attempt);
+            let (request, at, attempt) =
+                (open.request.clone(), open.upstream.clone(), open.attempt);
             match at {
                 Some(upstream) => {
-                    if let Some(back) = self.backs.get_mut(&upstream) {
-                        back.on_end(id);
-                        back.breaker.on_neutral();
+                    if let Some(state) = self.upstreams.get_mut(&upstream) {
+                        state.on_end(id);
+                        state.breaker.on_inconclusive();
                     }
                     out.push(RouteAction::Cancel {
                         id,
@@ -181,21 +183,29 @@
                         upstream,
                     });
                 }
-                None => self.unqueue(&ask),
+                None => self.dequeue(&request),
             }
-            self.give_up(id, ErrorKind::EndsUpstreams, out);
+            self.fail(id, ErrorKind::EndsUpstreams, out);
         }
     }
 
     /// The upstreams at which a request is now, in any copy.
-    fn places_of(&self, request: &Fingerprint) -> BTreeSet<&Upstream> {
-        let open = self.copies.of(request).filter_map(|id| self.open.get(id));
-        open.filter_map(|o| o.at.as_ref()).collect()
+    fn upstreams_of(&self, fingerprint: &Fingerprint) -> BTreeSet<&Upstream> {
+        let open = self
+            .copies
+            .of(fingerprint)
+            .filter_map(|id| self.open.get(id));
+        open.filter_map(|o| o.upstream.as_ref()).collect()
     }
 
     /// Whether a request may go to an upstream, by what ended under it.
-    pub(crate) fn may_go(&self, ask: &RouteRequest, name: &Upstream, back: &Back) -> bool {
-        let Some(identity) = ask.identity else {
+    pub(crate) fn may_send_to(
+        &self,
+        request: &RouteRequest,
+        name: &Upstream,
+        state: &UpstreamState,
+    ) -> bool {
+        let Some(identity) = request.identity else {
             return true;
         };
         let ends = self.crashes.crash_count(&identity.request);
@@ -203,60 +213,64 @@
             return false;
         }
         let free =
-            self.copies.is_single(&identity.request) || self.copies.is_sound(&identity.request);
+            self.copies.is_single(&identity.request) || self.copies.is_harmless(&identity.request);
         if ends == 0 && free {
             return true;
         }
-        let places = self.places_of(&identity.request);
+        let places = self.upstreams_of(&identity.request);
         if places.contains(name) {
             return true;
         }
-        ends + places.len() < MAX_CRASHES && (ends < APART_ENDS || self.is_free_of_suspects(back))
+        ends + places.len() < MAX_CRASHES
+            && (ends < ISOLATION_CRASHES || self.has_no_suspects(state))
     }
 
     /// Whether no request is at an upstream that must run apart.
-    fn is_free_of_suspects(&self, back: &Back) -> bool {
-        let open = back.flights.keys().filter_map(|id| self.open.get(id));
-        let mut suspects = open.filter(|o| self.crash_count(&o.ask) >= APART_ENDS);
+    fn has_no_suspects(&self, state: &UpstreamState) -> bool {
+        let open = state.in_flight.keys().filter_map(|id| self.open.get(id));
+        let mut suspects = open.filter(|o| self.crash_count(&o.request) >= ISOLATION_CRASHES);
         suspects.next().is_none()
     }
 
     /// Whether a request does not wait: it would keep those behind it from being sent, and nobody
     /// knows when it may go.
-    pub(crate) fn never_waits(&self, ask: &RouteRequest) -> bool {
-        self.crash_count(ask) >= APART_ENDS
+    pub(crate) fn never_waits(&self, request: &RouteRequest) -> bool {
+        self.crash_count(request) >= ISOLATION_CRASHES
     }
 
     /// Refuses what waits first in line and may not go where there is room: others stand behind it.
-    pub(crate) fn refuse_barred(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
+    pub(crate) fn refuse_unplaceable(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         let heads = self
             .queues
             .values()
             .flat_map(crate::queue::RouteQueue::heads);
         let barred = |id: &RequestId| {
-            let ask = self.open.get(id).map(|o| &o.ask);
-            ask.is_some_and(|a| self.is_barred(a, now))
+            let request = self.open.get(id).map(|o| &o.request);
+            request.is_some_and(|a| self.is_unplaceable(a, now))
         };
         let ids: Vec<RequestId> = heads.map(|h| h.id).filter(barred).collect();
         for id in ids {
-            let Some(ask) = self.open.get(&id).map(|o| o.ask.clone()) else {
+            let Some(request) = self.open.get(&id).map(|o| o.request.clone()) else {
                 continue;
             };
-            self.unqueue(&ask);
-            self.give_up(id, ErrorKind::NoUpstream, out);
+            self.dequeue(&request);
+            self.fail(id, ErrorKind::NoUpstream, out);
         }
     }
 
-    fn is_barred(&self, ask: &RouteRequest, now: Millis) -> bool {
-        let Some(identity) = ask.identity else {
+    fn is_unplaceable(&self, request: &RouteRequest, now: Millis) -> bool {
+        let Some(identity) = request.identity else {
             return false;
         };
         let ends = self.crashes.crash_count(&identity.request);
         if ends == 0 && self.copies.of(&identity.request).nth(MAX_CRASHES).is_none() {
             return false;
         }
-        let roomy = |b: &Back| b.routes.contains(&ask.route) && b.has_room_for(&ask.org, now);
-        let mut with_room = self.backs.iter().filter(|(_, b)| roomy(b)).peekable();
-        with_room.peek().is_some() && !with_room.any(|(name, back)| self.may_go(ask, name, back))
+        let roomy = |b: &UpstreamState| {
+            b.routes.contains(&request.route) && b.has_room_for(&request.org, now)
+        };
+        let mut with_room = self.upstreams.iter().filter(|(_, b)| roomy(b)).peekable();
+        with_room.peek().is_some()
+            && !with_room.any(|(name, state)| self.may_send_to(request, name, state))
     }
 }
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug)]
-struct Use {
+struct Usage {
     rate: Bucket,
     tokens: Bucket,
     running: u64,
@@ -78,7 +78,7 @@
 /// What each organisation has used at this daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Limiter {
-    orgs: BTreeMap<Org, Use>,
+    orgs: BTreeMap<Org, Usage>,
 }
 
 impl Limiter {
@@ -90,16 +90,16 @@
         shares: &ShareBook,
         now: Millis,
     ) -> Result<(), (LimitKind, Millis)> {
-        let part = |kind| shares.share(org, kind, limits.get(kind), now);
+        let share = |kind| shares.share(org, kind, limits.get(kind), now);
         let (rate, tokens, most) = (
-            part(LimitKind::Rate),
-            part(LimitKind::Tokens),
-            part(LimitKind::Concurrency),
+            share(LimitKind::Rate),
+            share(LimitKind::Tokens),
+            share(LimitKind::Concurrency),
         );
         // An answer's length is not known beforehand: it is charged when it ends, and the next
         // request waits.
         let full = |rate: u64| Bucket::new(rate as f64, now);
-        let fresh = || Use {
+        let fresh = || Usage {
             rate: full(rate),
             tokens: full(tokens),
             running: 0,
@@ -136,7 +136,7 @@
 
     /// Forgets organisations with nothing running that have been quiet for a while.
     pub(crate) fn prune(&mut self, now: Millis) {
-        let quiet = |u: &Use| u.running == 0 && now.since(u.rate.last()) > 60_000;
+        let quiet = |u: &Usage| u.running == 0 && now.since(u.rate.last()) > 60_000;
         self.orgs.retain(|_, u| !quiet(u));
     }
 }
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -10,9 +10,9 @@
 /// The tokens of such a block, at four characters a token.
 pub const BLOCK_TOKENS: u32 = 16;
 
-const MOST_BLOCKS: usize = 64;
+const MAX_BLOCKS: usize = 64;
 /// More blocks than an engine's cache holds: some 130,000 tokens in parts of 100 or more.
-const MOST_HINTS: usize = 2_048;
+const MAX_HINTS: usize = 2_048;
 
 /// Hashes of a prompt's growing prefixes, one for each whole block. The salt keeps
 /// organisations apart, so that timing tells nothing about another's prompts.
@@ -20,7 +20,7 @@
 pub fn prefix_chain(salt: &str, prompt: &str) -> Vec<u64> {
     let mut chain = Vec::new();
     let mut last = stable_hash(&[salt]);
-    let chars: Vec<char> = prompt.chars().take(BLOCK_CHARS * MOST_BLOCKS).collect();
+    let chars: Vec<char> = prompt.chars().take(BLOCK_CHARS * MAX_BLOCKS).collect();
     for block in chars.chunks_exact(BLOCK_CHARS) {
         let text: String = block.iter().collect();
         last = stable_hash(&[&last.to_string(), &text]);
@@ -46,7 +46,7 @@
             }
             self.by_age.insert((self.clock, *block));
         }
-        while self.by_hash.len() > MOST_HINTS {
+        while self.by_hash.len() > MAX_HINTS {
             if let Some((_, block)) = self.by_age.pop_first() {
                 self.by_hash.remove(&block);
             }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -5,7 +5,7 @@
 
 /// One waiting request.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) id: RequestId,
     pub(crate) due: Millis,
 }
@@ -21,10 +21,10 @@
 /// The lines of one route.
 #[derive(Debug, Default)]
 pub(crate) struct RouteQueue {
-    lines: BTreeMap<(u8, Org), VecDeque<Waiting>>,
+    subqueues: BTreeMap<(u8, Org), VecDeque<QueuedRequest>>,
     len: usize,
     /// The mean time between two departures while something waited.
-    interval: Option<f64>,
+    mean_interval: Option<f64>,
     last_departure: Option<Millis>,
 }
 
@@ -37,8 +37,8 @@
         self.len == 0
     }
 
-    pub(crate) fn push(&mut self, priority: u8, org: &Org, waiting: Waiting, first: bool) {
-        let line = self.lines.entry((priority, org.clone())).or_default();
+    pub(crate) fn push(&mut self, priority: u8, org: &Org, waiting: QueuedRequest, first: bool) {
+        let line = self.subqueues.entry((priority, org.clone())).or_default();
         if first {
             line.push_front(waiting);
         } else {
@@ -50,7 +50,7 @@
     /// The head of every line, of all classes: the most urgent may have no place left for
     /// its organisation, and then others come.
     pub(crate) fn heads(&self) -> impl Iterator<Item = Head<'_>> {
-        self.lines.iter().filter_map(|((priority, org), line)| {
+        self.subqueues.iter().filter_map(|((priority, org), line)| {
             let id = line.front()?.id;
             Some(Head {
                 priority: *priority,
@@ -64,10 +64,10 @@
     /// only a fair share of each other organisation's line.
     pub(crate) fn ahead(&self, priority: u8, org: &Org) -> usize {
         let own = self
-            .lines
+            .subqueues
             .get(&(priority, org.clone()))
             .map_or(0, VecDeque::len);
-        let before = |((p, o), line): (&(u8, Org), &VecDeque<Waiting>)| {
+        let before = |((p, o), line): (&(u8, Org), &VecDeque<QueuedRequest>)| {
             if *p < priority {
                 line.len()
             } else if *p == priority && o != org {
@@ -76,12 +76,12 @@
                 0
             }
         };
-        own + self.lines.iter().map(before).sum::<usize>()
+        own + self.subqueues.iter().map(before).sum::<usize>()
     }
 
     pub(crate) fn remove(&mut self, priority: u8, org: &Org, id: RequestId) -> bool {
         let key = (priority, org.clone());
-        let Some(line) = self.lines.get_mut(&key) else {
+        let Some(line) = self.subqueues.get_mut(&key) else {
             return false;
         };
         let Some(index) = line.iter().position(|w| w.id == id) else {
@@ -93,7 +93,7 @@
             self.last_departure = None;
         }
         if line.is_empty() {
-            self.lines.remove(&key);
+            self.subqueues.remove(&key);
         }
         true
     }
@@ -102,15 +102,15 @@
     pub(crate) fn on_departure(&mut self, now: Millis) {
         if let Some(last) = self.last_departure {
             let gap = now.since(last) as f64;
-            let mean = self.interval.map_or(gap, |m| m * 0.9 + gap * 0.1);
-            self.interval = Some(mean);
+            let mean = self.mean_interval.map_or(gap, |m| m * 0.9 + gap * 0.1);
+            self.mean_interval = Some(mean);
         }
         self.last_departure = (!self.is_empty()).then_some(now);
     }
 
     /// How long a request with so many ahead of it will wait, as far as is known.
     pub(crate) fn expected_wait(&self, ahead: usize, now: Millis) -> Option<Millis> {
-        let mean = self.interval?;
+        let mean = self.mean_interval?;
         let silent = self.last_departure.map_or(0, |l| now.since(l)) as f64;
         let mean = if ahead > 0 { mean.max(silent) } else { mean };
         Some(Millis((mean * (ahead + 1) as f64) as u64))
@@ -118,12 +118,12 @@
 
     /// The requests whose time to start has passed.
     pub(crate) fn overdue(&self, now: Millis) -> Vec<RequestId> {
-        let waiting = self.lines.values().flatten();
+        let waiting = self.subqueues.values().flatten();
         waiting.filter(|w| w.due <= now).map(|w| w.id).collect()
     }
 
     /// All that wait.
     pub(crate) fn ids(&self) -> Vec<RequestId> {
-        self.lines.values().flatten().map(|w| w.id).collect()
+        self.subqueues.values().flatten().map(|w| w.id).collect()
     }
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -5,9 +5,9 @@
 use crate::estimate::TokenCosts;
 use crate::isolation::Copies;
 use crate::limit::Limiter;
-use crate::queue::{RouteQueue, Waiting};
+use crate::queue::{QueuedRequest, RouteQueue};
 use crate::retry::RetryBudget;
-use crate::upstream::{Back, Flight};
+use crate::upstream::{InFlight, UpstreamState};
 use crate::{
     AttemptNumber, CrashNote, Crashes, LimitKind, Limits, PeerVisibility, RetrySettings, Route,
     RouteAction, RouteEvent, RouteRequest, RouterSettings, RouterStats, ShareBook, UpstreamInfo,
@@ -19,14 +19,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-pub(crate) struct Open {
-    pub(crate) ask: RouteRequest,
+pub(crate) struct OpenRequest {
+    pub(crate) request: RouteRequest,
     pub(crate) attempt: AttemptNumber,
     /// How many sends may have reached an upstream.
     pub(crate) reached: AttemptNumber,
-    pub(crate) at: Option<Upstream>,
+    pub(crate) upstream: Option<Upstream>,
     pub(crate) tried: Vec<Upstream>,
-    pub(crate) first: bool,
+    pub(crate) first_byte: bool,
 }
 
 /// Admits, queues, sends, retries and refuses.
@@ -35,25 +35,25 @@
     pub(crate) settings: RouterSettings,
     pub(crate) shares: ShareBook,
     pub(crate) limiter: Limiter,
-    pub(crate) open: BTreeMap<RequestId, Open>,
+    pub(crate) open: BTreeMap<RequestId, OpenRequest>,
     pub(crate) queues: BTreeMap<Route, RouteQueue>,
-    pub(crate) backs: BTreeMap<Upstream, Back>,
+    pub(crate) upstreams: BTreeMap<Upstream, UpstreamState>,
     /// The limits that stood in a request's way since they were last asked for.
-    short: BTreeSet<(Org, LimitKind)>,
+    exceeded: BTreeSet<(Org, LimitKind)>,
     /// Upstreams that were told to be leaving, whether they are known yet or not.
     leaving: BTreeSet<Upstream>,
     pub(crate) budget: RetryBudget,
     pub(crate) tokens: TokenCosts,
-    turn: u64,
-    sight: PeerVisibility,
-    draws: RefCell<SmallRng>,
+    send_count: u64,
+    visibility: PeerVisibility,
+    rng: RefCell<SmallRng>,
     pub(crate) stats: RouterStats,
     pub(crate) crashes: Crashes,
     pub(crate) copies: Copies,
     /// What was found out about requests under which upstreams ended.
     pub(crate) crash_notes: Vec<CrashNote>,
     /// When old state was dropped last.
-    pub(crate) pruned: Millis,
+    pub(crate) last_prune: Millis,
 }
 
 impl Router {
@@ -65,19 +65,19 @@
             limiter: Limiter::default(),
             open: BTreeMap::new(),
             queues: BTreeMap::new(),
-            backs: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
             leaving: BTreeSet::new(),
-            short: BTreeSet::new(),
+            exceeded: BTreeSet::new(),
             budget: RetryBudget::new(settings.retries),
             tokens: TokenCosts::default(),
-            turn: 0,
-            sight: PeerVisibility::default(),
-            draws: RefCell::new(SmallRng::seed_from_u64(settings.seed)),
+            send_count: 0,
+            visibility: PeerVisibility::default(),
+            rng: RefCell::new(SmallRng::seed_from_u64(settings.seed)),
             stats: RouterStats::default(),
             crashes: Crashes::default(),
             copies: Copies::default(),
             crash_notes: Vec::new(),
-            pruned: Millis(0),
+            last_prune: Millis(0),
             settings,
         }
     }
@@ -99,7 +99,7 @@
     /// The limits of which this daemon's part was too small since the last call: another
     /// daemon may lend some.
     pub fn take_exceeded(&mut self) -> Vec<(Org, LimitKind)> {
-        std::mem::take(&mut self.short).into_iter().collect()
+        std::mem::take(&mut self.exceeded).into_iter().collect()
     }
 
     /// Takes another budget for retries, as the number of daemons changes.
@@ -108,54 +108,54 @@
     }
 
     /// Sets how well it is known what other daemons send.
-    pub fn set_peer_visibility(&mut self, sight: PeerVisibility) {
-        self.sight = sight;
+    pub fn set_peer_visibility(&mut self, visibility: PeerVisibility) {
+        self.visibility = visibility;
     }
 
     /// Takes an event and says what to do.
     pub fn step(&mut self, event: RouteEvent, now: Millis) -> Vec<RouteAction> {
         let mut out = Vec::new();
         match event {
-            RouteEvent::Arrive(ask) => self.arrive(*ask, now, &mut out),
+            RouteEvent::Arrive(request) => self.arrive(*request, now, &mut out),
             RouteEvent::FirstByte { id, attempt } => {
-                let upstream = self.open.get(&id).and_then(|o| o.at.clone());
+                let upstream = self.open.get(&id).and_then(|o| o.upstream.clone());
                 self.on_byte(id, attempt, true, now);
                 // Its prompt is read, so others may follow.
                 if let Some(upstream) = upstream {
-                    self.pump(&upstream, now, &mut out);
+                    self.dispatch_queued(&upstream, now, &mut out);
                 }
             }
             RouteEvent::Progress { id, attempt } => self.on_byte(id, attempt, false, now),
             RouteEvent::Ended { id, attempt, end } => self.ended(id, attempt, end, now, &mut out),
             RouteEvent::CallerGone(id) => self.caller_gone(id, now, &mut out),
             RouteEvent::Report { upstream, load } => {
-                if let Some(back) = self.backs.get_mut(&upstream) {
-                    back.on_report(load);
+                if let Some(state) = self.upstreams.get_mut(&upstream) {
+                    state.on_report(load);
                 }
-                self.pump(&upstream, now, &mut out);
+                self.dispatch_queued(&upstream, now, &mut out);
             }
             RouteEvent::PeerReport { upstream, load } => {
-                if let Some(back) = self.backs.get_mut(&upstream) {
-                    back.on_peers(load, now);
+                if let Some(state) = self.upstreams.get_mut(&upstream) {
+                    state.on_peers(load, now);
                 }
             }
             RouteEvent::Serves { upstream, info } => {
                 self.serves(&upstream, info);
-                self.pump(&upstream, now, &mut out);
+                self.dispatch_queued(&upstream, now, &mut out);
             }
             RouteEvent::Leaving { upstream, on } => {
                 self.set_leaving(&upstream, on);
-                self.pump(&upstream, now, &mut out);
+                self.dispatch_queued(&upstream, now, &mut out);
             }
             RouteEvent::Restarted(upstream) => {
-                if let Some(back) = self.backs.get_mut(&upstream) {
-                    back.forget_learned();
+                if let Some(state) = self.upstreams.get_mut(&upstream) {
+                    state.reset_learned();
                 }
             }
             RouteEvent::Removed(upstream) => self.removed(&upstream, now, &mut out),
             RouteEvent::Cached { upstream, blocks } => {
-                if let Some(back) = self.backs.get_mut(&upstream) {
-                    back.hints.note(&blocks);
+                if let Some(state) = self.upstreams.get_mut(&upstream) {
+                    state.hints.note(&blocks);
                 }
             }
             RouteEvent::Tick => self.tick(now, &mut out),
@@ -164,12 +164,12 @@
     }
 
     pub(crate) fn serves(&mut self, upstream: &Upstream, site: UpstreamInfo) {
-        match self.backs.get_mut(upstream) {
-            Some(back) => back.set_site(site),
+        match self.upstreams.get_mut(upstream) {
+            Some(state) => state.set_site(site),
             None => {
-                let mut back = Back::new(site);
-                back.leaving = self.leaving.contains(upstream);
-                self.backs.insert(upstream.clone(), back);
+                let mut state = UpstreamState::new(site);
+                state.leaving = self.leaving.contains(upstream);
+                self.upstreams.insert(upstream.clone(), state);
             }
         }
     }
@@ -182,35 +182,45 @@
         } else {
             self.leaving.remove(upstream);
         }
-        if let Some(back) = self.backs.get_mut(upstream) {
-            back.leaving = on;
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.leaving = on;
         }
     }
 
-    pub(crate) fn arrive(&mut self, ask: RouteRequest, now: Millis, out: &mut Vec<RouteAction>) {
+    pub(crate) fn arrive(
+        &mut self,
+        request: RouteRequest,
+        now: Millis,
+        out: &mut Vec<RouteAction>,
+    ) {
         self.stats.arrived += 1;
-        let id = ask.id;
-        if self.is_blocked(&ask) {
+        let id = request.id;
+        if self.is_blocked(&request) {
             self.refuse(id, ErrorKind::EndsUpstreams, None, out);
             return;
         }
-        if let Err((kind, wait)) = self.limiter.admit(&ask.org, &ask.limits, &self.shares, now) {
-            self.short.insert((ask.org.clone(), kind));
+        if let Err((kind, wait)) =
+            self.limiter
+                .admit(&request.org, &request.limits, &self.shares, now)
+        {
+            self.exceeded.insert((request.org.clone(), kind));
             let wait = Millis(wait.0.max(1));
             self.refuse(id, ErrorKind::RateLimited, Some(wait), out);
             return;
         }
-        let (org, priority) = (ask.org.clone(), ask.priority);
-        let queue = self.queues.get(&ask.route);
+        let (org, priority) = (request.org.clone(), request.priority);
+        let queue = self.queues.get(&request.route);
         let (waiting, expected) = queue.map_or((0, None), |q| {
             let ahead = q.ahead(priority, &org);
             (q.len(), q.expected_wait(ahead, now).filter(|_| ahead > 0))
         });
         let full = waiting >= self.settings.queue_limit;
-        let late = expected.map(|w| now.plus(w.0)).filter(|at| *at > ask.due);
+        let late = expected
+            .map(|w| now.plus(w.0))
+            .filter(|at| *at > request.due);
         if let Some(at) = late.filter(|_| self.settings.shed || full) {
             self.limiter.finish(&org, 0);
-            let wait = Millis(at.since(ask.due).max(100));
+            let wait = Millis(at.since(request.due).max(100));
             self.refuse(id, ErrorKind::DeadlineUnmet, Some(wait), out);
             return;
         }
@@ -219,17 +229,17 @@
             self.refuse(id, ErrorKind::Overloaded, expected, out);
             return;
         }
-        let open = Open {
-            ask,
+        let open = OpenRequest {
+            request,
             attempt: 0,
             reached: 0,
-            at: None,
+            upstream: None,
             tried: Vec::new(),
-            first: false,
+            first_byte: false,
         };
-        self.copies.insert(&open.ask);
+        self.copies.insert(&open.request);
         self.open.insert(id, open);
-        self.place(id, now, out);
+        self.dispatch(id, now, out);
     }
 
     pub(crate) fn refuse(
@@ -245,13 +255,13 @@
 
     /// Sends a request at once if an upstream has room and nobody waits before it;
     /// otherwise it waits.
-    pub(crate) fn place(&mut self, id: RequestId, now: Millis, out: &mut Vec<RouteAction>) {
+    pub(crate) fn dispatch(&mut self, id: RequestId, now: Millis, out: &mut Vec<RouteAction>) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let ask = &open.ask;
-        let queue = self.queues.get(&ask.route);
-        let ahead = queue.map_or(0, |q| q.ahead(ask.priority, &ask.org));
+        let request = &open.request;
+        let queue = self.queues.get(&request.route);
+        let ahead = queue.map_or(0, |q| q.ahead(request.priority, &request.org));
         let repeat = open.attempt > 0;
         if ahead == 0 || repeat {
             if let Some(upstream) = self.choose(open, now) {
@@ -259,56 +269,56 @@
                 return;
             }
         }
-        if self.never_waits(ask) {
-            self.give_up(id, ErrorKind::NoUpstream, out);
+        if self.never_waits(request) {
+            self.fail(id, ErrorKind::NoUpstream, out);
             return;
         }
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             id,
-            due: ask.start_by(now),
+            due: request.start_by(now),
         };
-        let (route, priority, org) = (ask.route.clone(), ask.priority, ask.org.clone());
+        let (route, priority, org) = (request.route.clone(), request.priority, request.org.clone());
         let able = self.choose(open, now);
         let queue = self.queues.entry(route).or_default();
         queue.push(priority, &org, waiting, repeat);
         if let Some(upstream) = able {
-            self.pump(&upstream, now, out);
+            self.dispatch_queued(&upstream, now, out);
         }
     }
 
-    pub(crate) fn chooser(&self, ask: &RouteRequest, now: Millis) -> Chooser<'_> {
+    pub(crate) fn chooser(&self, request: &RouteRequest, now: Millis) -> Chooser<'_> {
         Chooser {
             choice: self.settings.choice,
             home: &self.settings.home,
-            turn: self.turn,
-            token: self.tokens.get(&ask.route, self.settings.token_ms),
-            own_share: self.sight.own_share,
+            send_count: self.send_count,
+            token_ms: self.tokens.get(&request.route, self.settings.token_ms),
+            own_share: self.visibility.own_share,
             now,
         }
     }
 
-    pub(crate) fn choose(&self, open: &Open, now: Millis) -> Option<Upstream> {
-        let ask = &open.ask;
-        let chooser = self.chooser(ask, now);
-        let fits = |(name, b): &(&Upstream, &Back)| {
-            b.routes.contains(&ask.route)
-                && b.has_room_for(&ask.org, now)
-                && !b.is_refusing(&ask.route, now)
-                && chooser.allows(b, ask)
-                && self.may_go(ask, name, b)
+    pub(crate) fn choose(&self, open: &OpenRequest, now: Millis) -> Option<Upstream> {
+        let request = &open.request;
+        let chooser = self.chooser(request, now);
+        let fits = |(name, b): &(&Upstream, &UpstreamState)| {
+            b.routes.contains(&request.route)
+                && b.has_room_for(&request.org, now)
+                && !b.is_refusing(&request.route, now)
+                && chooser.allows(b, request)
+                && self.may_send_to(request, name, b)
         };
-        let able: Vec<(&Upstream, &Back)> = self.backs.iter().filter(fits).collect();
+        let able: Vec<(&Upstream, &UpstreamState)> = self.upstreams.iter().filter(fits).collect();
         let fresh = |u: &Upstream| !open.tried.contains(u);
         let untried = able.iter().any(|(u, _)| fresh(u));
         let of = able.len();
-        let costs = able.iter().enumerate().map(|(i, (name, back))| {
-            let cost = chooser.cost(back, ask, i, of);
+        let costs = able.iter().enumerate().map(|(i, (name, state))| {
+            let cost = chooser.cost(state, request, i, of);
             (*name, cost)
         });
         let costs = costs.filter(|(name, _)| !untried || fresh(name));
         let costs: Vec<(&Upstream, f64)> = costs.collect();
-        let draw = self.draws.borrow_mut().random();
-        let best = draw_by_cost(&costs, self.sight.unseen_ms, draw)?;
+        let draw = self.rng.borrow_mut().random();
+        let best = draw_by_cost(&costs, self.visibility.unseen_ms, draw)?;
         Some(best.clone())
     }
 
@@ -319,42 +329,45 @@
         now: Millis,
         out: &mut Vec<RouteAction>,
     ) {
-        let (Some(open), Some(back)) = (self.open.get(&id), self.backs.get(upstream)) else {
+        let (Some(open), Some(state)) = (self.open.get(&id), self.upstreams.get(upstream)) else {
             return;
         };
-        let chooser = self.chooser(&open.ask, now);
-        let (work, expected) = (chooser.work(back, &open.ask), chooser.time(back, &open.ask));
-        let (Some(open), Some(back)) = (self.open.get_mut(&id), self.backs.get_mut(upstream))
+        let chooser = self.chooser(&open.request, now);
+        let (work, expected) = (
+            chooser.prompt_ms(state, &open.request),
+            chooser.first_byte_ms(state, &open.request),
+        );
+        let (Some(open), Some(state)) = (self.open.get_mut(&id), self.upstreams.get_mut(upstream))
         else {
             return;
         };
         assert!(
-            !back.is_leaving() || !Safeguard::LeavingStop.active(),
+            !state.is_leaving() || !Safeguard::LeavingStop.active(),
             "a leaving upstream gets no new work"
         );
-        self.turn += 1;
+        self.send_count += 1;
         self.stats.sent += 1;
         self.stats.retried += u64::from(open.attempt > 0);
         open.attempt += 1;
         open.reached += 1;
-        open.first = false;
-        open.at = Some(upstream.clone());
+        open.first_byte = false;
+        open.upstream = Some(upstream.clone());
         open.tried.push(upstream.clone());
-        let flight = Flight {
-            org: open.ask.org.clone(),
+        let send = InFlight {
+            org: open.request.org.clone(),
             sent: now,
-            stall: open.ask.policy.stall_timeout.map_or_else(
-                || stall_of(self.settings.stall_timeout, open.ask.due, now),
+            stall: open.request.policy.stall_timeout.map_or_else(
+                || stall_timeout(self.settings.stall_timeout, open.request.due, now),
                 |s| s.0,
             ),
             answered: false,
-            urgent: open.ask.policy.urgent,
+            urgent: open.request.policy.urgent,
             work,
             expected,
         };
-        let cost = open.ask.cost as f64 / open.ask.weight.max(1) as f64;
-        back.hints.note(&open.ask.prefix);
-        back.on_send(id, flight, cost);
+        let cost = open.request.cost as f64 / open.request.weight.max(1) as f64;
+        state.hints.note(&open.request.prefix);
+        state.on_send(id, send, cost);
         out.push(RouteAction::Send {
             id,
             attempt: open.attempt,
@@ -365,10 +378,10 @@
 }
 
 /// The least silence that counts as hanging, however little time a request has.
-const LEAST_STALL: u64 = 200;
+const MIN_STALL_MS: u64 = 200;
 
 /// Half of the time that a request has left, so that another upstream can still meet its
 /// target; never more than the setting.
-fn stall_of(setting: Millis, due: Millis, now: Millis) -> u64 {
-    setting.0.min((due.since(now) / 2).max(LEAST_STALL))
+fn stall_timeout(setting: Millis, due: Millis, now: Millis) -> u64 {
+    setting.0.min((due.since(now) / 2).max(MIN_STALL_MS))
 }
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -11,11 +11,11 @@
 
 /// How long a larger part must be due before it is used: longer than daemons take to
 /// agree on who is alive.
-const GROW_AFTER: u64 = 3_000;
+const GROW_DELAY_MS: u64 = 3_000;
 
 /// How long a loan lasts for the borrower, and how much longer the lender counts it.
 const LOAN_MS: u64 = 10_000;
-const LOAN_MARGIN: u64 = 2_000;
+const LOAN_MARGIN_MS: u64 = 2_000;
 
 /// The part of `limit` that the daemon `me` gets among `members`, which must include it.
 /// The parts of all members add up to the limit.
@@ -51,8 +51,8 @@
     me: String,
     members: Vec<String>,
     /// Members to divide by, each with the time until which it still counts.
-    counted: BTreeMap<String, Millis>,
-    grown: Option<Millis>,
+    departed: BTreeMap<String, Millis>,
+    grows_at: Option<Millis>,
     accounts: BTreeMap<(Org, LimitKind), Account>,
 }
 
@@ -64,8 +64,8 @@
         Self {
             me: me.to_owned(),
             members: vec![me.to_owned()],
-            counted: BTreeMap::new(),
-            grown: Some(Millis(0)),
+            departed: BTreeMap::new(),
+            grows_at: Some(Millis(0)),
             accounts: BTreeMap::new(),
         }
     }
@@ -74,7 +74,7 @@
     #[must_use]
     pub fn joining(me: &str, now: Millis) -> Self {
         Self {
-            grown: Some(now.plus(GROW_AFTER)),
+            grows_at: Some(now.plus(GROW_DELAY_MS)),
             ..Self::alone(me)
         }
     }
@@ -83,43 +83,43 @@
     pub fn set_members(&mut self, members: &[&str], now: Millis) {
         for gone in &self.members {
             if !members.contains(&gone.as_str()) && *gone != self.me {
-                self.counted.insert(gone.clone(), now.plus(GROW_AFTER));
+                self.departed.insert(gone.clone(), now.plus(GROW_DELAY_MS));
             }
         }
         self.members = members.iter().map(|m| (*m).to_owned()).collect();
         if !members.contains(&self.me.as_str()) {
             self.members.push(self.me.clone());
         }
-        self.counted.retain(|_, until| *until > now);
+        self.departed.retain(|_, until| *until > now);
     }
 
     /// How many daemons the limits are divided by.
     #[must_use]
     pub fn divisor(&self, now: Millis) -> usize {
-        self.divided_by(now).len()
+        self.counted_members(now).len()
     }
 
-    fn divided_by(&self, now: Millis) -> Vec<&str> {
+    fn counted_members(&self, now: Millis) -> Vec<&str> {
         let mut all: Vec<&str> = self.members.iter().map(String::as_str).collect();
-        let counted = self.counted.iter().filter(|(_, until)| **until > now);
-        all.extend(counted.map(|(m, _)| m.as_str()));
+        let departed = self.departed.iter().filter(|(_, until)| **until > now);
+        all.extend(departed.map(|(m, _)| m.as_str()));
         all.sort_unstable();
         all.dedup();
         all
     }
 
     /// This daemon's own part, loans apart.
-    fn base(&self, org: &Org, limit: u64, now: Millis) -> u64 {
-        match self.grown {
+    fn own_share(&self, org: &Org, limit: u64, now: Millis) -> u64 {
+        match self.grows_at {
             Some(at) if now < at => 0,
-            _ => share_of(limit, org.as_str(), &self.me, &self.divided_by(now)),
+            _ => share_of(limit, org.as_str(), &self.me, &self.counted_members(now)),
         }
     }
 
     /// The part of a limit that this daemon may use now.
     #[must_use]
     pub fn share(&self, org: &Org, kind: LimitKind, limit: u64, now: Millis) -> u64 {
-        let own = self.base(org, limit, now);
+        let own = self.own_share(org, limit, now);
         let Some(account) = self.accounts.get(&(org.clone(), kind)) else {
             return own;
         };
@@ -140,8 +140,8 @@
         let idle = self
             .share(org, kind, limits.get(kind), now)
             .saturating_sub(in_use);
-        let base = self.base(org, limits.get(kind), now);
-        let most = if base == 1 { 1 } else { base / 2 };
+        let own_share = self.own_share(org, limits.get(kind), now);
+        let most = if own_share == 1 { 1 } else { own_share / 2 };
         let key = (org.clone(), kind);
         let lent = self.accounts.get(&key).map_or(0, |a| sum(&a.lent, now));
         let amount = idle.min(most.saturating_sub(lent));
@@ -152,7 +152,7 @@
         account.lent.retain(|l| l.until > now);
         account.lent.push(Loan {
             amount,
-            until: now.plus(LOAN_MS + LOAN_MARGIN),
+            until: now.plus(LOAN_MS + LOAN_MARGIN_MS),
         });
         amount
     }
--- a/crates/route/src/stats.rs
+++ b/crates/route/src/stats.rs
@@ -33,7 +33,8 @@
     /// What it serves.
     pub routes: Vec<String>,
     /// This daemon's requests there.
-    pub flights: usize,
+    #[serde(rename = "flights")]
+    pub in_flight: usize,
     /// All requests there, as far as is known.
     pub busy: usize,
     /// How many it takes at once.
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -1,6 +1,6 @@
 //! What the router knows of one upstream.
 
-use crate::breaker::{Breaker, Gate};
+use crate::breaker::{Breaker, BreakerState};
 use crate::estimate::Slowness;
 use crate::prefix::PrefixHints;
 use crate::{Load, PeerLoad, Route, RouteRequest, UpstreamInfo};
@@ -11,11 +11,11 @@
 const DEFAULT_SLOTS: usize = 8;
 
 /// An organisation that has sent nothing for so long no longer counts as a neighbour.
-const NEIGHBOUR_MS: u64 = 30_000;
+const NEIGHBOUR_TIMEOUT_MS: u64 = 30_000;
 
 /// A send in flight.
 #[derive(Debug, Clone)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     pub(crate) org: Org,
     pub(crate) sent: Millis,
     /// How long it may go without a first byte before it counts as hanging.
@@ -32,7 +32,7 @@
 const FAILURE_STEP: f64 = 0.2;
 
 /// Half of the share of failures is forgotten in so many milliseconds.
-const FAILURE_FORGET_MS: f64 = 3_000.0;
+const FAILURE_HALF_LIFE_MS: f64 = 3_000.0;
 
 /// The share of sends that failed lately.
 #[derive(Debug, Clone, Copy, Default)]
@@ -43,7 +43,7 @@
 
 impl Failures {
     pub(crate) fn get(&self, now: Millis) -> f64 {
-        self.share * 0.5_f64.powf(now.since(self.at) as f64 / FAILURE_FORGET_MS)
+        self.share * 0.5_f64.powf(now.since(self.at) as f64 / FAILURE_HALF_LIFE_MS)
     }
 
     pub(crate) fn note(&mut self, failed: f64, now: Millis) {
@@ -54,10 +54,10 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Fair {
+struct FairShare {
     finish: f64,
-    used: Millis,
-    flights: usize,
+    last_used: Millis,
+    in_flight: usize,
 }
 
 /// How long an upstream is passed over for a model that it refused: an engine that drops a
@@ -70,62 +70,62 @@
 
 /// One upstream as this daemon sees it.
 #[derive(Debug)]
-pub(crate) struct Back {
+pub(crate) struct UpstreamState {
     pub(crate) site: UpstreamInfo,
     pub(crate) routes: BTreeSet<Route>,
     pub(crate) load: Load,
     /// What the other daemons had running there when it reported.
-    others: usize,
-    pub(crate) flights: BTreeMap<RequestId, Flight>,
+    peer_requests: usize,
+    pub(crate) in_flight: BTreeMap<RequestId, InFlight>,
     pub(crate) breaker: Breaker,
     pub(crate) failures: Failures,
     pub(crate) slowness: Slowness,
     peers: PeerLoad,
-    told: Millis,
+    peers_at: Millis,
     pub(crate) hints: PrefixHints,
     /// Told by the list, by an operator or by the upstream itself.
     pub(crate) leaving: bool,
     pub(crate) last_byte: Millis,
     /// What it refused to run, and until when it is passed over for that.
     refused: BTreeMap<Route, Millis>,
-    fair: BTreeMap<Org, Fair>,
-    clock: f64,
+    fair_shares: BTreeMap<Org, FairShare>,
+    virtual_time: f64,
     /// How many requests that had waited were sent there.
     pub(crate) departures: u64,
 }
 
-impl Back {
+impl UpstreamState {
     pub(crate) fn new(site: UpstreamInfo) -> Self {
         Self {
             routes: site.routes.iter().cloned().collect(),
             site,
             load: Load::default(),
-            others: 0,
-            flights: BTreeMap::new(),
+            peer_requests: 0,
+            in_flight: BTreeMap::new(),
             breaker: Breaker::default(),
             failures: Failures::default(),
             slowness: Slowness::default(),
             peers: PeerLoad::default(),
-            told: Millis(0),
+            peers_at: Millis(0),
             hints: PrefixHints::default(),
             leaving: false,
             last_byte: Millis(0),
             refused: BTreeMap::new(),
-            fair: BTreeMap::new(),
-            clock: 0.0,
+            fair_shares: BTreeMap::new(),
+            virtual_time: 0.0,
             departures: 0,
         }
     }
 
     /// Forgets what was learned of it. Sends that are under way end by themselves.
-    pub(crate) fn forget_learned(&mut self) {
+    pub(crate) fn reset_learned(&mut self) {
         let site = self.site.clone();
-        let flights = std::mem::take(&mut self.flights);
-        let fair = std::mem::take(&mut self.fair);
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let fair_shares = std::mem::take(&mut self.fair_shares);
         *self = Self {
-            flights,
-            fair,
-            clock: self.clock,
+            in_flight,
+            fair_shares,
+            virtual_time: self.virtual_time,
             load: Load {
                 slots: self.load.slots,
                 ..Load::default()
@@ -136,7 +136,7 @@
 
     /// Notes that it refused a request: it is full, or about to drop the model. Those that
     /// come next would be refused as well.
-    pub(crate) fn note_refused(&mut self, route: &Route, now: Millis) {
+    pub(crate) fn record_refusal(&mut self, route: &Route, now: Millis) {
         let pause = match route {
             Route::Model { .. } => MODEL_PAUSE_MS,
             Route::Service(_) => SERVICE_PAUSE_MS,
@@ -158,21 +158,21 @@
     /// Notes a report. What it counts beyond this daemon's own sends is the others'.
     pub(crate) fn on_report(&mut self, load: Load) {
         let reported = load.running + load.waiting;
-        self.others = reported.saturating_sub(self.flights.len());
+        self.peer_requests = reported.saturating_sub(self.in_flight.len());
         self.load = load;
     }
 
     /// Notes what the other daemons have there.
     pub(crate) fn on_peers(&mut self, load: PeerLoad, now: Millis) {
-        self.others = load.running;
+        self.peer_requests = load.running;
         self.peers = load;
-        self.told = now;
+        self.peers_at = now;
     }
 
     /// The uncached tokens of a prompt.
-    pub(crate) fn cold(&self, ask: &RouteRequest) -> f64 {
-        let warm = self.hints.matched(&ask.prefix);
-        (warm..ask.prefix.len()).map(|i| ask.size(i)).sum()
+    pub(crate) fn uncached_tokens(&self, request: &RouteRequest) -> f64 {
+        let warm = self.hints.matched(&request.prefix);
+        (warm..request.prefix.len()).map(|i| request.size(i)).sum()
     }
 
     /// The time until what is ahead of a new request is read, in milliseconds. What the
@@ -184,19 +184,19 @@
         } else {
             (load.backlog, self.peers.backlog)
         };
-        own + (peers - now.since(self.told) as f64).max(0.0)
+        own + (peers - now.since(self.peers_at) as f64).max(0.0)
     }
 
     /// What this daemon has there.
     pub(crate) fn own_load(&self) -> PeerLoad {
-        let open = self.flights.values().filter(|f| !f.answered);
+        let open = self.in_flight.values().filter(|f| !f.answered);
         let mut load = PeerLoad {
-            running: self.flights.len(),
+            running: self.in_flight.len(),
             ..PeerLoad::default()
         };
-        for flight in open {
-            load.backlog += flight.work;
-            load.urgent += if flight.urgent { flight.work } else { 0.0 };
+        for send in open {
+            load.backlog += send.work;
+            load.urgent += if send.urgent { send.work } else { 0.0 };
         }
         load
     }
@@ -211,7 +211,7 @@
 
     /// How many requests it has, as far as is known.
     pub(crate) fn busy(&self) -> usize {
-        self.flights.len() + self.others
+        self.in_flight.len() + self.peer_requests
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
@@ -223,10 +223,10 @@
         if self.is_leaving() && shaleline_types::Safeguard::LeavingStop.active() {
             return false;
         }
-        match self.breaker.gate(now) {
-            Gate::Shut => false,
-            Gate::Probe => true,
-            Gate::Open => self.busy() < self.slots(),
+        match self.breaker.state(now) {
+            BreakerState::Open => false,
+            BreakerState::HalfOpen => true,
+            BreakerState::Closed => self.busy() < self.slots(),
         }
     }
 
@@ -237,50 +237,53 @@
             return false;
         }
         let neighbours = self
-            .fair
+            .fair_shares
             .iter()
-            .any(|(o, f)| o != org && now.since(f.used) < NEIGHBOUR_MS);
+            .any(|(o, f)| o != org && now.since(f.last_used) < NEIGHBOUR_TIMEOUT_MS);
         if !neighbours {
             return true;
         }
-        let own = self.fair.get(org).map_or(0, |f| f.flights);
+        let own = self.fair_shares.get(org).map_or(0, |f| f.in_flight);
         let slots = self.slots();
         own < slots - slots.div_ceil(4).min(slots - 1)
     }
 
     /// The virtual time at which the organisation's next request would start.
-    pub(crate) fn start_of(&self, org: &Org) -> f64 {
-        self.fair
+    pub(crate) fn virtual_start(&self, org: &Org) -> f64 {
+        self.fair_shares
             .get(org)
-            .map_or(self.clock, |f| f.finish.max(self.clock))
+            .map_or(self.virtual_time, |f| f.finish.max(self.virtual_time))
     }
 
-    pub(crate) fn on_send(&mut self, id: RequestId, flight: Flight, cost: f64) {
-        let start = self.start_of(&flight.org);
-        self.clock = self.clock.max(start);
-        let fair = self.fair.entry(flight.org.clone()).or_insert(Fair {
-            finish: start,
-            used: flight.sent,
-            flights: 0,
-        });
-        fair.finish = start + cost;
-        fair.used = flight.sent;
-        fair.flights += 1;
+    pub(crate) fn on_send(&mut self, id: RequestId, send: InFlight, cost: f64) {
+        let start = self.virtual_start(&send.org);
+        self.virtual_time = self.virtual_time.max(start);
+        let fair_shares = self
+            .fair_shares
+            .entry(send.org.clone())
+            .or_insert(FairShare {
+                finish: start,
+                last_used: send.sent,
+                in_flight: 0,
+            });
+        fair_shares.finish = start + cost;
+        fair_shares.last_used = send.sent;
+        fair_shares.in_flight += 1;
         self.breaker.on_send();
-        self.flights.insert(id, flight);
+        self.in_flight.insert(id, send);
     }
 
-    pub(crate) fn on_end(&mut self, id: RequestId) -> Option<Flight> {
-        let flight = self.flights.remove(&id)?;
-        if let Some(fair) = self.fair.get_mut(&flight.org) {
-            fair.flights = fair.flights.saturating_sub(1);
+    pub(crate) fn on_end(&mut self, id: RequestId) -> Option<InFlight> {
+        let send = self.in_flight.remove(&id)?;
+        if let Some(fair_shares) = self.fair_shares.get_mut(&send.org) {
+            fair_shares.in_flight = fair_shares.in_flight.saturating_sub(1);
         }
-        Some(flight)
+        Some(send)
     }
 
     pub(crate) fn prune(&mut self, now: Millis) {
         self.refused.retain(|_, until| now < *until);
-        self.fair
-            .retain(|_, f| f.flights > 0 || now.since(f.used) < 2 * NEIGHBOUR_MS);
+        self.fair_shares
+            .retain(|_, f| f.in_flight > 0 || now.since(f.last_used) < 2 * NEIGHBOUR_TIMEOUT_MS);
     }
 }
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -1,8 +1,8 @@
 //! What the router shows of its state.
 
-use crate::breaker::Gate;
+use crate::breaker::BreakerState;
 use crate::queue::RouteQueue;
-use crate::upstream::Back;
+use crate::upstream::UpstreamState;
 use crate::{PeerLoad, Route, Router, RouterStats, UpstreamStats};
 use shaleline_types::{Millis, RequestId, Upstream};
 
@@ -20,42 +20,42 @@
     /// What is known of each upstream.
     #[must_use]
     pub fn upstreams(&self, now: Millis) -> Vec<UpstreamStats> {
-        let one = |(name, back): (&Upstream, &Back)| UpstreamStats {
+        let one = |(name, state): (&Upstream, &UpstreamState)| UpstreamStats {
             name: name.to_string(),
-            centre: back.site.centre.to_string(),
-            routes: back.routes.iter().map(Route::to_string).collect(),
-            flights: back.flights.len(),
-            busy: back.busy(),
-            slots: back.slots(),
-            leaving: back.is_leaving(),
-            healthy: back.breaker.gate(now) == Gate::Open,
+            centre: state.site.centre.to_string(),
+            routes: state.routes.iter().map(Route::to_string).collect(),
+            in_flight: state.in_flight.len(),
+            busy: state.busy(),
+            slots: state.slots(),
+            leaving: state.is_leaving(),
+            healthy: state.breaker.state(now) == BreakerState::Closed,
         };
-        self.backs.iter().map(one).collect()
+        self.upstreams.iter().map(one).collect()
     }
 
     /// Whether an upstream gets no new work; none where it is not known.
     #[must_use]
     pub fn is_leaving(&self, upstream: &Upstream) -> Option<bool> {
-        self.backs.get(upstream).map(Back::is_leaving)
+        self.upstreams.get(upstream).map(UpstreamState::is_leaving)
     }
 
     /// Where a request was sent, while that send has not ended.
     #[must_use]
     pub fn upstream_of(&self, id: RequestId) -> Option<&Upstream> {
-        self.open.get(&id)?.at.as_ref()
+        self.open.get(&id)?.upstream.as_ref()
     }
 
     /// Notes that bytes came from an upstream: requests that wait there do not hang.
     pub fn record_activity(&mut self, upstream: &Upstream, now: Millis) {
-        if let Some(back) = self.backs.get_mut(upstream) {
-            back.last_byte = now;
+        if let Some(state) = self.upstreams.get_mut(upstream) {
+            state.last_byte = now;
         }
     }
 
     /// What this daemon itself has at an upstream, for the other daemons.
     #[must_use]
     pub fn own_load(&self, upstream: &Upstream) -> Option<PeerLoad> {
-        self.backs.get(upstream).map(|b| b.own_load())
+        self.upstreams.get(upstream).map(|b| b.own_load())
     }
 
     /// What one uncached token of a prompt costs for this route, in milliseconds.
@@ -66,7 +66,7 @@
 
     /// The names of the upstreams known.
     pub fn upstream_names(&self) -> impl Iterator<Item = &Upstream> {
-        self.backs.keys()
+        self.upstreams.keys()
     }
 
     /// Whether some upstream serves the route and takes new work.
@@ -78,7 +78,7 @@
     /// How many upstreams serve the route and take new work.
     #[must_use]
     pub fn serving_count(&self, route: &Route) -> usize {
-        let serves = |b: &&Back| !b.is_leaving() && b.routes.contains(route);
-        self.backs.values().filter(serves).count()
+        let serves = |b: &&UpstreamState| !b.is_leaving() && b.routes.contains(route);
+        self.upstreams.values().filter(serves).count()
     }
 }
