--- a/crates/route/src/allocator.rs
+++ b/crates/route/src/allocator.rs
@@ -1,65 +1,65 @@
-//! A daemon that keeps a part of each organisation's allowance and grants it in small amounts.
+//! The daemon that holds a share of each organisation's allowance and grants small amounts of it.
 //!
-//! The parts of all granters add up to one at most, so no two of them need to agree on anything
-//! but their parts. What is granted is taken off at once, whether it is used or lost.
+//! The shares of all allocators add up to one at most, so allocators need no agreement beyond the
+//! shares themselves. A granted amount is deducted at once, whether it is used or lost.
 
 use crate::bucket::Bucket;
 use crate::{Allowance, Tolerance};
 use shaleline_types::{Millis, Org};
 use std::collections::HashMap;
 
-/// The longest time to come back that is told: callers do not wait longer.
+/// The longest retry-after time that is returned: callers don't wait longer.
 const MAX_RETRY_AFTER: Millis = Millis(5_000);
 
-/// The part of all allowances that a granter keeps.
+/// The share of all allowances that an allocator holds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AllocatorShare {
-    /// Between 0 and 1.
+    /// The share as a fraction between 0 and 1.
     pub fraction: f64,
-    /// How many daemons there are that hold something in advance.
+    /// The number of daemons that may hold credit in advance.
     pub daemons: usize,
 }
 
 impl AllocatorShare {
-    /// No part of anything.
+    /// A share of zero.
     pub const NONE: Self = Self {
         fraction: 0.0,
         daemons: 1,
     };
 }
 
-/// The answer to a daemon that asks.
+/// The allocator's response to a grant request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantResponse {
-    /// What it asked for, and so much in advance.
+    /// The amount granted: the requested amount plus credit in advance.
     Granted(u64),
-    /// Not now; when to come back.
+    /// The request is denied; the value is the retry-after time.
     Denied(Millis),
-    /// It keeps no part, so it can neither grant nor deny.
+    /// The allocator holds no share, so it can neither grant nor deny.
     NoShare,
 }
 
 #[derive(Debug)]
 struct Account {
     bucket: Bucket,
-    /// Callers who were sent away come back one after the other, up to this time.
+    /// Denied callers are given retry-after times one after the other, up to this time.
     reserved_until: Millis,
 }
 
-/// What one granter has left for each organisation.
+/// The remaining allowance of each organisation at one allocator.
 #[derive(Debug)]
 pub struct Allocator {
     share: AllocatorShare,
-    /// For how many seconds it has kept all there is, a part counted as a part of the time.
+    /// The time for which the allocator has held its share, in seconds of holding all of it.
     full_seconds: f64,
-    /// Up to when that is counted.
+    /// The time up to which `full_seconds` is counted.
     counted_until: Millis,
     tolerance: Tolerance,
     accounts: HashMap<Org, Account>,
 }
 
 impl Allocator {
-    /// A granter that keeps nothing yet.
+    /// Creates an allocator that holds no share yet.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
@@ -71,13 +71,14 @@
         }
     }
 
-    /// Takes over what the platform bears.
+    /// Sets the tolerance for use above an allowance.
     pub fn set_tolerance(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
     }
 
-    /// Sets the part that it keeps from now on; up to now it kept the one before. `allowance_of` is
-    /// what an organisation may use, none where there is no limit or no such organisation.
+    /// Sets the share that the allocator holds from now on; up to now it held the previous one.
+    /// `allowance_of` returns an organisation's allowance, or `None` where it has no limit or no
+    /// longer exists.
     pub fn set_share(
         &mut self,
         share: AllocatorShare,
@@ -93,7 +94,7 @@
             let allowance = allowance_of(org);
             if let Some(allowance) = allowance {
                 refill(account, &allowance, before, tolerance, now);
-                // A smaller part holds less.
+                // A smaller share has a smaller capacity.
                 refill(account, &allowance, share, tolerance, now);
             }
             allowance.is_some()
@@ -101,13 +102,13 @@
         self.share = share;
     }
 
-    /// The part that it keeps.
+    /// Returns the share that the allocator holds.
     #[must_use]
     pub fn share(&self) -> AllocatorShare {
         self.share
     }
 
-    /// Answers a daemon that needs `need` for a request and holds `held` in advance.
+    /// Responds to a daemon that needs `need` for a request and holds `held` as credit.
     pub fn request(
         &mut self,
         org: &Org,
@@ -125,12 +126,12 @@
         let cost = need as f64;
         let max_level = capacity(allowance, share, tolerance);
         let split = tolerance.split(allowance, share.daemons);
-        // A request that is larger than all it may hold goes into debt.
+        // A request that exceeds the bucket's capacity is charged as debt.
         let least = cost.min(max_level).max(cost - split.debt * share.fraction);
         if account.bucket.level() >= least {
             account.bucket.take(cost);
             let credit = split.credit - held as f64;
-            // What others may need at once is not given away in advance.
+            // Half of the capacity is kept back, as other daemons may need it at once.
             let spare = account.bucket.level() - max_level / 2.0;
             let advance = credit.min(spare).max(0.0).floor();
             account.bucket.take(advance);
@@ -142,27 +143,27 @@
         GrantResponse::Denied(reserve_retry(account, allowance, share, least, now))
     }
 
-    /// Takes back what was granted for a request that did not run.
+    /// Returns the amount granted for a request that didn't run.
     pub fn refund(&mut self, org: &Org, allowance: &Allowance, amount: u64, now: Millis) {
         let max_level = capacity(allowance, self.share, self.tolerance);
         let account = self.account(org, allowance, now);
         account.bucket.put_back(amount as f64, max_level);
     }
 
-    /// What is left for each organisation, for operators.
+    /// Returns the amount left for each organisation, for operators.
     pub fn levels(&self) -> impl Iterator<Item = (&Org, f64)> {
         self.accounts.iter().map(|(o, a)| (o, a.bucket.level()))
     }
 
-    /// Counts for how long it has kept what it keeps.
+    /// Adds the time for which the current share was held.
     fn count_time(&mut self, now: Millis) {
         let seconds = now.since(self.counted_until) as f64 / 1_000.0;
         self.full_seconds += seconds * self.share.fraction;
         self.counted_until = now;
     }
 
-    /// What was used before this granter kept its part is not known: a new account has what came
-    /// in since.
+    /// Use before the allocator held its share is unknown, so a new account starts with what
+    /// accrued since.
     fn account(&mut self, org: &Org, allowance: &Allowance, now: Millis) -> &mut Account {
         self.count_time(now);
         let earned = allowance.rate * self.full_seconds;
@@ -174,7 +175,7 @@
     }
 }
 
-/// The most that a part of an allowance holds at once.
+/// The most that a share of an allowance can hold at once.
 fn capacity(allowance: &Allowance, share: AllocatorShare, tolerance: Tolerance) -> f64 {
     let split = tolerance.split(allowance, share.daemons);
     (allowance.burst + split.storage) * share.fraction
@@ -192,7 +193,7 @@
     account.bucket.refill(rate, max_level, now);
 }
 
-/// When to come back: each caller after the one before, so that they do not come all at once.
+/// Returns a retry-after time and reserves it, so that denied callers don't retry all at once.
 fn reserve_retry(
     account: &mut Account,
     allowance: &Allowance,
--- a/crates/route/src/breaker.rs
+++ b/crates/route/src/breaker.rs
@@ -1,15 +1,15 @@
-//! Stops sending to an upstream that fails or hangs.
+//! A circuit breaker that stops sends to an upstream that fails or hangs.
 
 use shaleline_types::Millis;
 
-/// Failures in a row that open a breaker.
+/// Consecutive failures that open a breaker.
 const MAX_FAILURES: u32 = 5;
 const MIN_COOLDOWN_MS: u64 = 1_000;
 const MAX_COOLDOWN_MS: u64 = 30_000;
 
-/// Counts failures in a row. Hanging requests are counted while they hang, not when they
-/// time out: waiting for timeouts left a dead channel in the way for its whole timeout in
-/// "Dead-channel isolation"; see `docs/ROUTING.md` for our own measurement.
+/// Counts consecutive failures. Hanging requests count while they hang, not when they time out:
+/// waiting for timeouts would keep a dead upstream in use for its whole timeout. `docs/ROUTING.md`
+/// has the measurement.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
     failures: u32,
@@ -18,7 +18,7 @@
     probing: bool,
 }
 
-/// Whether and how much an upstream may be sent.
+/// Whether the breaker lets requests pass; a half-open breaker lets one probe pass.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BreakerState {
     Closed,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Returns whether the breaker closed by this.
+    /// Returns whether the success closed the breaker.
     pub(crate) fn on_success(&mut self) -> bool {
         let closed = self.opened.is_some();
         *self = Self::default();
         closed
     }
 
-    /// Returns whether the breaker opened by this.
+    /// Returns whether the failure opened the breaker.
     pub(crate) fn on_failure(&mut self, now: Millis) -> bool {
         self.failures += 1;
         let was_open = self.opened.is_some();
@@ -63,13 +63,13 @@
         !was_open
     }
 
-    /// Opens it at once: requests hang there.
+    /// Opens the breaker at once because requests hang at the upstream.
     pub(crate) fn trip(&mut self, now: Millis) -> bool {
         self.failures = MAX_FAILURES;
         self.on_failure(now)
     }
 
-    /// A probe ended without saying anything of the upstream.
+    /// Ends a probe whose result doesn't show whether the upstream works.
     pub(crate) fn on_inconclusive(&mut self) {
         self.probing = false;
     }
--- a/crates/route/src/bucket.rs
+++ b/crates/route/src/bucket.rs
@@ -2,8 +2,8 @@
 
 use shaleline_types::Millis;
 
-/// Fills up at a rate and may go into debt: what a request costs may be known only when it ends, or
-/// be more than the bucket ever holds.
+/// A bucket that refills at a rate and may go into debt: the cost of a request may be known only
+/// when it ends, or may exceed the bucket's capacity.
 #[derive(Debug, Clone)]
 pub(crate) struct Bucket {
     level: f64,
@@ -15,7 +15,7 @@
         Self { level, last: now }
     }
 
-    /// Adds what `rate` gives in a second, up to `most`.
+    /// Adds what `rate` per second yields since the last refill, up to `capacity`.
     pub(crate) fn refill(&mut self, rate: f64, capacity: f64, now: Millis) {
         let gained = now.since(self.last) as f64 * rate / 1_000.0;
         self.last = self.last.max(now);
@@ -38,7 +38,7 @@
         self.level = (self.level + amount).min(capacity);
     }
 
-    /// How long until it holds `need`; without end where nothing comes in.
+    /// Returns the time until the bucket holds `need`, or `None` where it never refills.
     pub(crate) fn wait(&self, need: f64, rate: f64) -> Option<Millis> {
         let missing = need - self.level;
         if missing <= 0.0 {
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,38 +1,39 @@
-//! The choice among the upstreams that have room.
+//! The choice among the upstreams that have free slots.
 
 use crate::upstream::UpstreamState;
 use crate::RouteRequest;
 use shaleline_types::{DataCentre, Millis, Upstream};
 
-/// How upstreams are chosen. The others are baselines to measure against.
+/// How upstreams are chosen. All but `Expected` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ChoicePolicy {
-    /// By expected time: own sends over reported load, prefixes, data centre.
+    /// By expected time, from this daemon's sends on top of the reported load, cached prefixes and
+    /// the data centre.
     #[default]
     Expected,
     /// In turn.
     RoundRobin,
-    /// The least reported load, nothing added.
+    /// The least reported load, without this daemon's own sends.
     Reported,
 }
 
-/// What a request there costs in comparison, in milliseconds.
+/// Comparable costs of sending a request to an upstream, in milliseconds.
 const OTHER_CENTRE_MS: f64 = 1.0;
 const FULL_LOAD_MS: f64 = 400.0;
 
-/// With no more than this part of the pace ahead, a large prompt may be sent: it would not
-/// find less later.
+/// A large prompt may be sent where the prompt backlog is at most this fraction of the limit:
+/// waiting would hardly reduce it further.
 const EMPTY_BACKLOG_SHARE: f64 = 0.1;
 
-/// What a failure costs the caller: the time until its own retry.
+/// The cost of a failure to the caller: the time until it retries.
 const FAILURE_MS: f64 = 2_000.0;
 
-/// Draws one of the upstreams by what the request costs there: those that cost least most often,
-/// and none that costs `unseen` more than the best.
+/// Draws an upstream at random, weighted by cost: a cheaper upstream is more likely, and none is
+/// drawn that costs `unseen` more than the cheapest.
 ///
-/// What the other daemons have sent in the last moments is not known yet. Where all of them send
-/// to the upstream that seems best, it gets what was meant for all. So each takes as much of what
-/// comes meanwhile as would bring the costs level.
+/// What other daemons have sent most recently is not known yet. If all of them sent to the upstream
+/// that looks cheapest, it would be overloaded. Each upstream is therefore drawn in proportion to
+/// the unseen work that would level its cost with the others.
 pub(crate) fn draw_by_cost<'a>(
     costs: &[(&'a Upstream, f64)],
     unseen: f64,
@@ -52,12 +53,12 @@
     Some(best)
 }
 
-/// Weighs upstreams for one request; the lowest value is the best.
+/// Computes the cost of upstreams for one request; the lowest cost is best.
 pub(crate) struct Chooser<'a> {
     pub(crate) choice: ChoicePolicy,
     pub(crate) home: &'a DataCentre,
     pub(crate) send_count: u64,
-    /// What one uncached token costs, in milliseconds.
+    /// The cost of one uncached prompt token, in milliseconds.
     pub(crate) token_ms: f64,
     /// See [`crate::PeerVisibility::own_share`].
     pub(crate) own_share: f64,
@@ -82,15 +83,15 @@
         }
     }
 
-    /// Whether the request may be sent there at all: one that would wait too long is
-    /// better refused while its caller has time to come back.
+    /// Returns whether the request may be sent to the upstream. A request that would wait too long
+    /// is better refused while its caller has time to retry.
     pub(crate) fn allows(&self, state: &UpstreamState, request: &RouteRequest) -> bool {
         let max_expected = request.policy.max_expected;
         let in_time = max_expected.is_none_or(|m| self.first_byte_ms(state, request) <= m.0 as f64);
         in_time && self.fits_backlog(state, request)
     }
 
-    /// Whether the prompt leaves the streams that run there without a long pause.
+    /// Returns whether the prompt can be read without a long pause in the streams that run there.
     fn fits_backlog(&self, state: &UpstreamState, request: &RouteRequest) -> bool {
         let Some(limit) = request.policy.backlog_limit else {
             return true;
@@ -103,12 +104,12 @@
             || (room && ahead + self.prompt_ms(state, request) <= limit)
     }
 
-    /// The time to the first byte, as far as prompts decide it.
+    /// Returns the expected time to the first byte, as far as prompts determine it.
     pub(crate) fn first_byte_ms(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
         state.backlog(request.policy.urgent, self.now) + self.prompt_ms(state, request)
     }
 
-    /// The time that reading the request's own prompt takes there.
+    /// Returns the time that the upstream needs to read the request's own prompt.
     pub(crate) fn prompt_ms(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
         state.uncached_tokens(request) * self.token_ms * state.slowness.get(self.now)
     }
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -1,55 +1,58 @@
-//! The requests under which upstreams ended.
+//! Requests under which upstreams crashed.
 //!
-//! A request may end each upstream that runs it, and come again at any daemon. What broke is no
-//! fault of the upstream then, and the next one it is sent to ends as well. So each upstream that
-//! ends under a request is noted against the request, in every daemon; a good end clears it.
+//! A request may crash each upstream that runs it, and may be repeated at any daemon. The upstream
+//! is not at fault then, and the next one that it is sent to crashes as well. Each upstream that
+//! ends while it runs a request is therefore recorded as a crash of that request, in every daemon;
+//! a successful answer clears the record.
 //!
-//! Up to a whole batch of requests is under way where an upstream ends, and at most one of them
-//! ended it. What tells it apart is that it was there each time: an innocent one that is tried again
-//! ends well sooner or later, and is cleared. `docs/CRASHES.md` has the ways weighed.
+//! A whole batch of requests may be in flight at an upstream that crashes, and at most one of them
+//! caused it. The cause is the one that was present each time: an innocent request that is retried
+//! succeeds sooner or later and is cleared. `docs/CRASHES.md` compares the alternatives.
 //!
-//! Nothing is agreed between daemons: a note only ever gains members, so notes may be lost, come
-//! twice or late, and all who have heard the same know the same.
+//! Daemons need no agreement: the sets in a note only grow, so notes may be lost, duplicated or
+//! late, and daemons that received the same notes have the same state.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Fingerprint, Identity, Millis, StartTag};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request under which so many upstreams ended is not sent any more. Each costs the answers of
-/// a batch, loaded weights and seconds of an engine. With two, 1,625 of 12,000 innocent requests
-/// that were tried five times went without an answer while an upstream of twelve ended every
-/// 300 ms; with three 557 did, and 315 without this rule (`crates/gateway/tests/unit/crashes`).
+/// The number of crashes after which a request is not sent any more. Each crash costs the answers
+/// of a batch, loaded weights and seconds of an engine. With a limit of two, 1,625 of 12,000
+/// innocent requests with five attempts each were never answered while one upstream of twelve
+/// crashed every 300 ms; with three it was 557, and without the rule 315
+/// (`crates/gateway/tests/unit/crashes`).
 pub const MAX_CRASHES: usize = 3;
 
-/// An end counts for so long; then the request may be tried at one upstream more. Long enough that
-/// a request that comes for good costs an engine every ten minutes and not every few seconds, and
-/// short enough that a mended engine needs no operator.
+/// The time for which a crash counts; after it the request may be tried at one more upstream. A
+/// request that is repeated for ever costs an engine every ten minutes instead of every few
+/// seconds, and a repaired engine needs no operator.
 const CRASH_LIFETIME_MS: u64 = 600_000;
 
-/// Two ends of one start that are told so far apart are two ends: an upstream that starts again
-/// takes more than a second, and its entry is known to daemons only some seconds later.
+/// Two crashes reported for the same start of an upstream this far apart are distinct: a restart
+/// takes more than a second, and daemons receive the new entry only some seconds later.
 const SAME_CRASH_MS: u64 = 1_000;
 
-/// A cleared request is remembered for so long, so that notes that come late do not bring back what
-/// was cleared: several times what a daemon that was cut off needs to catch up.
+/// The time for which a cleared request is remembered, so that late notes don't restore what was
+/// cleared. It is several times what a daemon needs to catch up after a partition.
 const CLEARED_MS: u64 = 60_000;
 
-/// The most requests that are kept: some 100 KB.
+/// The most requests that are kept, which take about 100 KB.
 const MAX_REQUESTS: usize = 1_024;
 
-/// The most requests of one caller. A caller that has more loses its own oldest ones.
+/// The most requests of one caller that are kept. Beyond it, the caller's own oldest requests are
+/// dropped.
 const MAX_PER_CALLER: usize = 32;
 
-/// What is known of one request, as daemons tell each other.
+/// The crashes of one request, as daemons exchange them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNote {
-    /// The request.
+    /// The request and its caller.
     pub identity: Identity,
-    /// The starts of upstreams that ended under it.
+    /// The starts of upstreams that crashed under it.
     pub ended: BTreeSet<StartTag>,
-    /// Those of them that no longer count.
+    /// The starts among `ended` that no longer count.
     pub cleared: BTreeSet<StartTag>,
-    /// How long ago the last of this happened, in milliseconds.
+    /// The time since the last change, in milliseconds.
     pub age: u32,
 }
 
@@ -58,7 +61,7 @@
     caller: u64,
     ended: BTreeSet<StartTag>,
     cleared: BTreeSet<StartTag>,
-    /// When an end was last noted or cleared.
+    /// The time of the last crash or clearing.
     since: Millis,
 }
 
@@ -72,32 +75,32 @@
     }
 }
 
-/// What an operator sees of one request.
+/// The crashes of one request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashRecord {
-    /// The request.
+    /// The request's fingerprint.
     pub request: Fingerprint,
-    /// The starts of upstreams that ended under it and count.
+    /// The starts of upstreams that crashed under it and still count.
     pub ended: Vec<StartTag>,
-    /// How long ago the last of them ended.
+    /// The time since the last crash.
     pub age: Millis,
 }
 
-/// The requests under which upstreams ended, as far as this daemon knows.
+/// The requests under which upstreams crashed, as known to this daemon.
 #[derive(Debug, Default)]
 pub struct Crashes {
     known: BTreeMap<Fingerprint, Known>,
 }
 
 impl Crashes {
-    /// How many upstreams ended under a request.
+    /// Returns the number of crashes that count for a request.
     #[must_use]
     pub fn crash_count(&self, request: &Fingerprint) -> usize {
         self.known.get(request).map_or(0, Known::crash_count)
     }
 
-    /// Notes that an upstream ended under a request. Returns what to tell the others, where that is
-    /// news.
+    /// Records a crash under a request. Returns the note to send to other daemons if the crash is
+    /// new.
     pub fn on_end(
         &mut self,
         identity: Identity,
@@ -115,8 +118,8 @@
             .then(|| self.note(&identity.request, now))?
     }
 
-    /// The start that ended now, where one of the same tag ended before: it has started again, and
-    /// whoever saw it end had not heard of that.
+    /// Returns a distinct tag where a crash with the same tag was recorded before: the upstream has
+    /// restarted, and the daemon that saw the crash had not received its new start.
     fn distinct(&self, request: &Fingerprint, start: StartTag, now: Millis) -> StartTag {
         let Some(known) = self.known.get(request) else {
             return start;
@@ -128,8 +131,8 @@
         distinct
     }
 
-    /// Notes that a request ended well, or that an operator has cleared it: what ended under it was
-    /// not its fault. Returns what to tell the others, where that is news.
+    /// Clears the crashes of a request that succeeded or that an operator cleared. Returns the note
+    /// to send to other daemons if anything changed.
     pub fn clear(&mut self, request: &Fingerprint, now: Millis) -> Option<CrashNote> {
         let known = self.known.get_mut(request)?;
         if known.crash_count() == 0 {
@@ -140,7 +143,7 @@
         self.note(request, now)
     }
 
-    /// Takes in what another daemon knows; whether it is news.
+    /// Merges another daemon's note. Returns whether it contained anything new.
     pub fn merge(&mut self, note: &CrashNote, now: Millis) -> bool {
         let request = note.identity.request;
         let since = Millis(now.0.saturating_sub(u64::from(note.age)));
@@ -167,7 +170,7 @@
         news
     }
 
-    /// What is known of a request, to be told.
+    /// Returns the note about a request that is sent to other daemons.
     fn note(&self, request: &Fingerprint, now: Millis) -> Option<CrashNote> {
         let known = self.known.get(request)?;
         Some(CrashNote {
@@ -181,22 +184,23 @@
         })
     }
 
-    /// All that is known.
+    /// Returns the notes about all known requests.
     #[must_use]
     pub fn all(&self, now: Millis) -> Vec<CrashNote> {
         let known = self.known.keys();
         known.filter_map(|r| self.note(r, now)).collect()
     }
 
-    /// All that concerns every daemon: requests under which more than one upstream ended. What was
-    /// there once is mostly a bystander, and only whoever chooses upstreams needs to know it.
+    /// Returns the notes that every daemon needs: those of requests with more than one crash. A
+    /// request with a single crash is mostly a bystander, and only daemons that choose upstreams
+    /// need to know it.
     #[must_use]
     pub fn repeated(&self, now: Millis) -> Vec<CrashNote> {
         let repeated = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
         repeated.filter_map(|(r, _)| self.note(r, now)).collect()
     }
 
-    /// A number that differs where two daemons know differently of what concerns every daemon.
+    /// Returns a hash that differs where two daemons differ in the notes that every daemon needs.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let repeated = self.known.iter().filter(|(_, k)| k.ended.len() > 1);
@@ -211,13 +215,13 @@
         })
     }
 
-    /// Drops what is too old, one end of each request at a time.
+    /// Expires crashes that are too old, one per request at a time.
     pub fn tick(&mut self, now: Millis) {
         for known in self.known.values_mut() {
             if now.since(known.since) < CRASH_LIFETIME_MS {
                 continue;
             }
-            // The same one in each daemon, whenever it looks.
+            // Every daemon picks the same crash, independent of the time of its call.
             let first = known.active().next().copied();
             if let Some(first) = first {
                 known.cleared.insert(first);
@@ -228,8 +232,8 @@
         self.known.retain(|_, k| keep(k));
     }
 
-    /// Makes room for one more request of a caller: at the cost of its own where it has many, and of
-    /// whoever has most where there are too many in all.
+    /// Makes room for one more request of a caller. A caller at its limit loses one of its own
+    /// requests; at the overall limit, the caller with the most requests loses one.
     fn make_room(&mut self, caller: u64, now: Millis) {
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
         self.known
@@ -253,7 +257,7 @@
         }
     }
 
-    /// The requests that are not sent any more, or may soon not be, for operators.
+    /// Returns the requests that are blocked or may soon be, for operators.
     #[must_use]
     pub fn records(&self, now: Millis) -> Vec<CrashRecord> {
         let active = self.known.iter().filter(|(_, k)| k.crash_count() > 0);
@@ -265,7 +269,7 @@
         active.map(record).collect()
     }
 
-    /// How many requests are known, and how many of them are not sent any more.
+    /// Returns the number of requests with crashes, and the number of them that are blocked.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         let crash_count = self.known.values().map(Known::crash_count);
--- a/crates/route/src/credit.rs
+++ b/crates/route/src/credit.rs
@@ -1,18 +1,19 @@
-//! A daemon's side of the allowances: what it holds in advance, and whom it asks for more.
+//! A daemon's side of the allowances: the credit it holds in advance, and the allocators it
+//! requests more from.
 
 use crate::GrantResponse;
 use shaleline_types::{Millis, Org};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A granter that denied a request of this cost, and until when it will.
+/// The cost of a request that an allocator denied, and the time up to which it will deny it.
 #[derive(Debug, Clone, Copy)]
 struct Denial {
     cost: u64,
     until: Millis,
 }
 
-/// What this daemon holds in advance, and what it was denied.
+/// The credit that this daemon holds, and the denials it received.
 #[derive(Debug, Default)]
 pub struct Credits {
     held: HashMap<Org, u64>,
@@ -20,7 +21,7 @@
 }
 
 impl Credits {
-    /// Takes the cost of a request from what is held, if that is enough.
+    /// Deducts the cost of a request from the held credit, if it covers the cost.
     fn take(&mut self, org: &Org, cost: u64) -> bool {
         let held = self.held.get_mut(org).filter(|h| **h >= cost);
         let enough = held.is_some();
@@ -30,19 +31,19 @@
         enough
     }
 
-    /// What is held for an organisation.
+    /// Returns the credit held for an organisation.
     #[must_use]
     pub fn held(&self, org: &Org) -> u64 {
         self.held.get(org).copied().unwrap_or(0)
     }
 
-    /// Drops what is held for organisations whose allowance is another now.
+    /// Drops the credit and denials of organisations whose allowance has changed.
     pub fn retain(&mut self, same: impl Fn(&Org) -> bool) {
         self.held.retain(|org, _| same(org));
         self.denied.retain(|(_, org), _| same(org));
     }
 
-    /// Whether this granter would deny a request of this cost, and for how long.
+    /// Returns how much longer the allocator would deny a request of this cost, if it would.
     fn denied(&self, allocator: SocketAddr, org: &Org, cost: u64, now: Millis) -> Option<Millis> {
         let denial = self.denied.get(&(allocator, org.clone()))?;
         let holds = cost >= denial.cost && now < denial.until;
@@ -53,38 +54,38 @@
         self.denied.insert((allocator, org.clone()), denial);
     }
 
-    /// Forgets denials that are over.
+    /// Drops denials that have expired.
     pub fn prune(&mut self, now: Millis) {
         self.denied.retain(|_, d| now < d.until);
     }
 }
 
-/// What to do next about a request that needs a grant.
+/// The next step for a request that needs a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantStep {
-    /// RouteRequest this granter.
+    /// Send a grant request to this allocator.
     Query(SocketAddr),
-    /// It may run.
+    /// Admit the request.
     Admit,
-    /// The allowance is used up; when to come back.
+    /// Refuse the request as the allowance is used up; the value is the retry-after time.
     Refuse(Millis),
-    /// No granter answered.
+    /// No allocator responded.
     Unanswered,
 }
 
-/// One request that needs a grant: it asks one granter after the other.
+/// A request that needs a grant and queries one allocator after the other.
 #[derive(Debug)]
 pub struct GrantRequest {
     org: Org,
     cost: u64,
-    /// Those that were not asked yet, the next one last.
+    /// The allocators that were not queried yet, the next one last.
     remaining: Vec<SocketAddr>,
     asked: Option<SocketAddr>,
     soonest: Option<Millis>,
 }
 
 impl GrantRequest {
-    /// A request that may ask these, the first one first.
+    /// Creates a grant request that may query these allocators, in this order.
     #[must_use]
     pub fn new(org: Org, cost: u64, allocators: &[SocketAddr]) -> Self {
         Self {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Begins, or goes on after a granter that did not answer.
+    /// Returns the first step, or the next one after an allocator that didn't respond.
     pub fn next_step(&mut self, credits: &mut Credits, now: Millis) -> GrantStep {
         if self.asked.is_none() && credits.take(&self.org, self.cost) {
             return GrantStep::Admit;
@@ -120,7 +121,7 @@
         self.soonest = Some(self.soonest.map_or(wait, |s| s.min(wait)));
     }
 
-    /// Takes in the answer of the granter that was asked last.
+    /// Handles the response of the allocator that was queried last.
     pub fn on_grant(
         &mut self,
         grant: GrantResponse,
--- a/crates/route/src/drain.rs
+++ b/crates/route/src/drain.rs
@@ -1,29 +1,29 @@
-//! A planned stop: nothing in flight is cut off.
+//! A planned stop that doesn't interrupt requests in flight.
 
 use shaleline_types::{Millis, Safeguard};
 
-/// What is still to be done at a daemon that stops.
+/// What a stopping daemon has yet to finish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unfinished {
     /// Requests in flight.
     pub requests: usize,
-    /// Records on their way to the log.
+    /// Records that are not in the log yet.
     pub records: usize,
 }
 
-/// What to do next.
+/// The next step of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Tell others, and serve on: the balancer learns of it late.
+    /// Announce the stop and continue to serve, as the load balancer learns of it late.
     Announce,
-    /// Refuse new requests as not run, with when to come back.
+    /// Refuse new requests as not executed, with a retry-after time.
     Refuse,
-    /// Stop: nothing is in flight, or the limit is reached.
+    /// Exit: nothing is in flight, or the limit is reached.
     Exit,
 }
 
-/// How long records may take to reach the log once no request is left. A key whose end
-/// does not get there is unknown to whoever repeats it, which is true.
+/// How long records may take to reach the log once no request is left. If a key's final record
+/// doesn't reach it, a caller that repeats the key is correctly told that the outcome is unknown.
 const RECORDS_WAIT_MS: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,13 +40,13 @@
     grace: Millis,
     limit: Millis,
     phase: Phase,
-    /// Since when only records were left.
+    /// The time since which only records were left.
     idle: Option<Millis>,
 }
 
 impl Drain {
-    /// Serves on for `grace` after the stop was asked for; waits no longer than `limit`
-    /// for what is in flight after that.
+    /// Creates a drain that serves for `grace` after the stop was requested, then waits up to
+    /// `limit` for what is in flight.
     #[must_use]
     pub fn new(grace: Millis, limit: Millis) -> Self {
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A stop was asked for.
+    /// Starts the stop.
     pub fn stop(&mut self, now: Millis) -> Option<DrainAction> {
         if self.phase != Phase::Serving {
             return None;
@@ -66,7 +66,7 @@
         Some(DrainAction::Announce)
     }
 
-    /// Time passed.
+    /// Advances the stop to the current time.
     pub fn tick(&mut self, left: Unfinished, now: Millis) -> Option<DrainAction> {
         match self.phase {
             Phase::Announced(since) if now.since(since) >= self.grace.0 => {
--- a/crates/route/src/ending.rs
+++ b/crates/route/src/ending.rs
@@ -1,14 +1,14 @@
-//! How sends end: answers, failures, callers and upstreams that go, and what is sent again.
+//! How sends end: answers, failures, callers and upstreams that leave, and retries.
 
 use crate::estimate::ratio_of;
 use crate::{AttemptEnd, AttemptNumber, RouteAction, RouteRequest, Router};
 use shaleline_types::{ErrorKind, Millis, RequestId, Safeguard, Upstream};
 
-/// How often a request is sent at the most, sends that reached nobody included.
+/// The most sends of a request, including those that didn't reach an upstream.
 const MAX_SENDS: AttemptNumber = 6;
 
 impl Router {
-    /// Whether an answer belongs to the attempt that counts now.
+    /// Returns whether an answer belongs to the current attempt.
     pub(crate) fn is_current(&mut self, id: RequestId, attempt: AttemptNumber) -> bool {
         let current = self
             .open
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Sends a request again, where attempts, budget and time allow it.
+    /// Retries a request if its attempts, the retry budget and its deadline allow it.
     pub(crate) fn retry_request(
         &mut self,
         id: RequestId,
--- a/crates/route/src/estimate.rs
+++ b/crates/route/src/estimate.rs
@@ -1,39 +1,38 @@
-//! How long prompts take: learned from first bytes, for each model and each upstream.
+//! Estimates of prompt times, learned from first bytes per model and per upstream.
 //!
-//! An engine reads prompts one after the other, so the time to the first token is the
-//! work ahead of a request plus its own uncached part. The figures of a data sheet are
-//! only a start: models differ, and an engine may have turned slow.
+//! An engine reads prompts one after the other, so the time to the first token is the backlog ahead
+//! of a request plus its own uncached part. Data sheet figures are only the initial values: models
+//! differ, and an engine may have become slow.
 
 use crate::Route;
 use shaleline_types::Millis;
 use std::collections::BTreeMap;
 
-/// How much one observation moves the figure of a model, and that of an upstream.
+/// The exponents with which one observation changes the estimate of a model and of an upstream.
 const MODEL_STEP: f64 = 0.05;
 const UPSTREAM_STEP: f64 = 0.2;
 
-/// One observation counts at most so many times more or less than expected.
+/// The largest factor by which one observation may differ from the expected value.
 const MAX_RATIO: f64 = 4.0;
 
-/// The figures stay within these bounds, however odd the observations.
+/// Bounds that keep estimates plausible under outlying observations.
 const TOKEN_BOUNDS: (f64, f64) = (0.002, 5.0);
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 20.0);
 
-/// Observations below this are noise of timers and of the network.
+/// Observations below this are dominated by timer and network noise.
 const MIN_MS: f64 = 2.0;
 
-/// Half of an upstream's measured slowness is forgotten in so many milliseconds, so that
-/// one that was slow is tried again.
+/// The half-life of an upstream's measured slowness, so that a slow upstream is tried again.
 const HALF_LIFE_MS: f64 = 5_000.0;
 
-/// What a prompt token costs, by what is asked for.
+/// The cost of a prompt token, by model or service.
 #[derive(Debug, Default)]
 pub(crate) struct TokenCosts {
     by_route: BTreeMap<Route, f64>,
 }
 
 impl TokenCosts {
-    /// Milliseconds for one uncached token of a prompt.
+    /// Returns the cost of one uncached prompt token in milliseconds.
     pub(crate) fn get(&self, route: &Route, start: f64) -> f64 {
         self.by_route
             .get(&route.to_base())
@@ -41,7 +40,7 @@
             .unwrap_or(start)
     }
 
-    /// Notes how much longer than expected a first byte took.
+    /// Updates the estimate with the ratio of measured to expected time to the first byte.
     pub(crate) fn learn(&mut self, route: &Route, ratio: f64, start: f64) {
         let cost = self.by_route.entry(route.to_base()).or_insert(start);
         let (low, high) = TOKEN_BOUNDS;
@@ -49,7 +48,7 @@
     }
 }
 
-/// How much slower than expected an upstream is; 1 is as expected.
+/// An upstream's measured time relative to the expected time; 1 means as expected.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Slowness {
     factor: f64,
@@ -78,7 +77,7 @@
     }
 }
 
-/// How much longer than expected something took, bounded.
+/// Returns the ratio of elapsed to expected time, within bounds.
 pub(crate) fn ratio_of(elapsed: f64, expected: f64) -> f64 {
     let ratio = elapsed.max(MIN_MS) / expected.max(MIN_MS);
     ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO)
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -1,15 +1,16 @@
-//! Where a request may go under which upstreams ended.
+//! Restricts where requests with crashes may be sent.
 //!
-//! The load that this answers: a request that ends each upstream which runs it, in several copies
-//! at once, beside innocent ones that were under way when an upstream ended. Three rules bound what
-//! it costs:
+//! The case that matters: a request that crashes each upstream that runs it, sent in several copies
+//! at once, beside innocent requests that were in flight when an upstream crashed. Three rules
+//! bound the cost:
 //!
-//! * The upstreams that ended under a request and those at which it is now are at most
-//!   [`MAX_CRASHES`] together. Further copies join one where it is already, or are refused: with that
-//!   a request ends three upstreams however many copies come before the first one ends.
-//! * A request under which two ended goes only where no other such request is. What ends then
-//!   ended under one of them alone, and a bystander of both is not taken for the third.
-//! * A request under which three ended is not sent any more.
+//! * The upstreams that crashed under a request and those that run it now are at most
+//!   [`MAX_CRASHES`] together. Further copies go to an upstream that runs one already, or are
+//!   refused. A request thus crashes at most three upstreams, however many copies arrive before the
+//!   first crash.
+//! * A request with two crashes goes only where no other such request runs. The next crash then has
+//!   one suspect, and a bystander of both doesn't get a third.
+//! * A request with three crashes is not sent any more.
 
 use crate::crashes::{CrashNote, Crashes, MAX_CRASHES};
 use crate::upstream::UpstreamState;
@@ -17,21 +18,21 @@
 use shaleline_types::{ErrorKind, Fingerprint, Identity, Millis, RequestId, StartTag, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request under which so many upstreams ended runs apart from others of its kind.
+/// The number of crashes from which a request runs isolated from others like it.
 const ISOLATION_CRASHES: usize = MAX_CRASHES - 1;
 
-/// A request of which a copy has ended well so short a time ago is sound: many callers may ask for
-/// the same thing at once, such as the state of a service, and need all its upstreams.
+/// A request of which a copy succeeded within this time is harmless: many callers may send the same
+/// request at once, such as a query of a service's state, and need all its upstreams.
 const HARMLESS_MS: u64 = 60_000;
 
-/// The most requests that are remembered as sound.
+/// The most requests that are remembered as harmless.
 const MAX_HARMLESS: usize = 1_024;
 
-/// The requests that are open, by what they have in common with other attempts.
+/// The open requests, by the fingerprint that copies have in common.
 #[derive(Debug, Default)]
 pub(crate) struct Copies {
     open: BTreeMap<Fingerprint, BTreeSet<RequestId>>,
-    /// Those of which one copy ended well while others were open, and when.
+    /// The requests of which one copy succeeded while others were open, with the time.
     harmless: BTreeMap<Fingerprint, Millis>,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether no other copy of a request is open.
+    /// Returns whether no other copy of the request is open.
     fn is_single(&self, fingerprint: &Fingerprint) -> bool {
         self.open.get(fingerprint).is_none_or(|ids| ids.len() == 1)
     }
@@ -81,13 +82,13 @@
 }
 
 impl Router {
-    /// What is known of requests under which upstreams ended.
+    /// Returns the known crashes of requests.
     #[must_use]
     pub fn crashes(&self) -> &Crashes {
         &self.crashes
     }
 
-    /// How many upstreams ended under a request.
+    /// Returns the number of crashes of a request.
     #[must_use]
     pub fn crash_count(&self, request: &RouteRequest) -> usize {
         request
@@ -95,12 +96,12 @@
             .map_or(0, |i| self.crashes.crash_count(&i.request))
     }
 
-    /// What this router found out about such requests since this was asked last.
+    /// Takes the crash notes that were created since the last call.
     pub fn take_crash_notes(&mut self) -> Vec<CrashNote> {
         std::mem::take(&mut self.crash_notes)
     }
 
-    /// Takes in what another daemon found out. Returns those notes that are news.
+    /// Merges another daemon's crash notes. Returns those that contained anything new.
     pub fn merge_crashes(
         &mut self,
         notes: Vec<CrashNote>,
@@ -117,7 +118,7 @@
         news
     }
 
-    /// Forgets what ended under a request: an operator says that it is sound.
+    /// Clears the crashes of a request that an operator declared harmless.
     pub fn clear_crashes(&mut self, fingerprint: &Fingerprint, now: Millis) {
         let note = self.crashes.clear(fingerprint, now);
         self.crash_notes.extend(note);
@@ -128,7 +129,7 @@
         self.copies.prune(now);
     }
 
-    /// Notes that an upstream ended under a request.
+    /// Records a crash of an upstream under a request.
     pub(crate) fn record_crash(
         &mut self,
         identity: Option<Identity>,
@@ -144,7 +145,7 @@
         self.stop_blocked(&identity.request, out);
     }
 
-    /// Notes that a request ended well.
+    /// Records that a request succeeded.
     pub(crate) fn record_success(&mut self, id: RequestId, now: Millis) {
         let identity = self.open.get(&id).and_then(|o| o.request.identity);
         if let Some(identity) = identity {
@@ -153,13 +154,13 @@
         }
     }
 
-    /// Whether a request may not be sent any more.
+    /// Returns whether the request may not be sent any more.
     pub(crate) fn is_blocked(&self, request: &RouteRequest) -> bool {
         self.crash_count(request) >= MAX_CRASHES
     }
 
-    /// Gives up what is open of a request that may not be sent any more: it may still wait its turn
-    /// at an upstream, which need not end as well.
+    /// Fails all open copies of a blocked request: one may still be queued at an upstream, which it
+    /// need not crash as well.
     fn stop_blocked(&mut self, fingerprint: &Fingerprint, out: &mut Vec<RouteAction>) {
         if self.crashes.crash_count(fingerprint) < MAX_CRASHES {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// The upstreams at which a request is now, in any copy.
+    /// Returns the upstreams that run a copy of the request.
     fn upstreams_of(&self, fingerprint: &Fingerprint) -> BTreeSet<&Upstream> {
         let open = self
             .copies
@@ -198,7 +199,7 @@
         open.filter_map(|o| o.upstream.as_ref()).collect()
     }
 
-    /// Whether a request may go to an upstream, by what ended under it.
+    /// Returns whether a request may be sent to an upstream, given its crashes.
     pub(crate) fn may_send_to(
         &self,
         request: &RouteRequest,
@@ -225,20 +226,21 @@
             && (ends < ISOLATION_CRASHES || self.has_no_suspects(state))
     }
 
-    /// Whether no request is at an upstream that must run apart.
+    /// Returns whether the upstream runs no request that must be isolated.
     fn has_no_suspects(&self, state: &UpstreamState) -> bool {
         let open = state.in_flight.keys().filter_map(|id| self.open.get(id));
         let mut suspects = open.filter(|o| self.crash_count(&o.request) >= ISOLATION_CRASHES);
         suspects.next().is_none()
     }
 
-    /// Whether a request does not wait: it would keep those behind it from being sent, and nobody
-    /// knows when it may go.
+    /// Returns whether the request must not be queued: it would block those behind it, and the time
+    /// when it may be sent is unknown.
     pub(crate) fn never_waits(&self, request: &RouteRequest) -> bool {
         self.crash_count(request) >= ISOLATION_CRASHES
     }
 
-    /// Refuses what waits first in line and may not go where there is room: others stand behind it.
+    /// Refuses requests at the head of a queue that no upstream with free slots may run, as they
+    /// block those behind them.
     pub(crate) fn refuse_unplaceable(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         let heads = self
             .queues
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,22 +1,23 @@
 //! Admission, fair queues, limits, choice of upstream, retries and breakers.
 //!
-//! [`Router`] is the decision: it takes a [`RouteEvent`] and the time and returns
-//! [`RouteAction`]s. It holds no clock and no socket; the daemon and the experiments
-//! drive the same code.
+//! [`Router`] makes the decisions: it takes a [`RouteEvent`] and the time and returns
+//! [`RouteAction`]s. It holds no clock and no socket; the daemon and the experiments drive the same
+//! code.
 //!
-//! * An [`RouteRequest`] is admitted against its organisation's [`Limits`], of which each daemon
-//!   has a share ([`ShareBook`]).
-//! * Where daemons together may admit no more than an [`Allowance`], those that keep parts of it
+//! * A [`RouteRequest`] is admitted against its organisation's [`Limits`], of which each daemon has
+//!   a share ([`ShareBook`]).
+//! * Where daemons together may admit no more than an [`Allowance`], those that hold shares of it
 //!   ([`Allocator`]) grant it in small amounts to those that serve ([`Credits`]).
-//! * What can't start at once waits in a queue per route; urgent work first, then
-//!   weighted fair by organisation. What can't meet its target is refused at once.
-//! * An upstream is chosen by what it reports, what this daemon has sent it since, and
-//!   which prefixes it may hold ([`prefix_chain`]).
-//! * A request under which upstreams ended is watched ([`Crashes`]) and, after three, not sent any
-//!   more.
-//! * An answer counts only for the attempt that it was made for.
+//! * A request that can't start at once waits in a queue per route; urgent requests come first,
+//!   then organisations in weighted fair order. A request that can't meet its target is refused at
+//!   once.
+//! * An upstream is chosen by its reported load, what this daemon has sent it since, and the
+//!   prefixes it may have cached ([`prefix_chain`]).
+//! * A request under which upstreams crashed is tracked ([`Crashes`]) and not sent any more after
+//!   three crashes.
+//! * An answer counts only for the attempt that it belongs to.
 //!
-//! The ways that were weighed are in `docs/ROUTING.md`.
+//! `docs/ROUTING.md` compares the alternatives.
 
 mod allocator;
 mod allowance;
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -1,40 +1,40 @@
-//! An organisation's limits, as far as this daemon may use them.
+//! An organisation's limits and its use of this daemon's share of them.
 
 use crate::bucket::Bucket;
 use crate::ShareBook;
 use shaleline_types::{Millis, Org};
 use std::collections::BTreeMap;
 
-/// How much of a second's allowance may be used at once.
+/// The duration whose rate may be used at once.
 const BURST_MS: f64 = 1_000.0;
 
-/// What an organisation may use over all daemons.
+/// An organisation's limits over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: u64,
 }
 
-/// Which limit stood in the way.
+/// The kind of limit that a request exceeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Rate,
-    /// Requests at once.
+    /// Concurrent requests.
     Concurrency,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
 }
 
 impl LimitKind {
-    /// Every limit.
+    /// All kinds of limits.
     pub const ALL: [Self; 3] = [Self::Rate, Self::Concurrency, Self::Tokens];
 
-    /// The word for it between daemons.
+    /// Returns the name used between daemons.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -46,7 +46,7 @@
 }
 
 impl Limits {
-    /// The value of one limit.
+    /// Returns the limit of this kind.
     #[must_use]
     pub fn get(&self, kind: LimitKind) -> u64 {
         match kind {
@@ -62,7 +62,7 @@
     bucket.refill(rate as f64, most, now);
 }
 
-/// How long until one more is admitted.
+/// Returns the time until one more request is admitted.
 fn wait(bucket: &Bucket, rate: u64) -> Millis {
     let wait = bucket.wait(1.0, rate.max(1) as f64);
     wait.expect("something comes in")
@@ -75,14 +75,14 @@
     running: u64,
 }
 
-/// What each organisation has used at this daemon.
+/// The use of each organisation at this daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Limiter {
     orgs: BTreeMap<Org, Usage>,
 }
 
 impl Limiter {
-    /// Admits a request, or says which limit stands in the way and for how long.
+    /// Admits a request, or returns the limit that it exceeds and the retry-after time.
     pub(crate) fn admit(
         &mut self,
         org: &Org,
@@ -96,8 +96,8 @@
             share(LimitKind::Tokens),
             share(LimitKind::Concurrency),
         );
-        // An answer's length is not known beforehand: it is charged when it ends, and the next
-        // request waits.
+        // The length of an answer is not known in advance: it is charged when the answer ends, and
+        // delays the next request.
         let full = |rate: u64| Bucket::new(rate as f64, now);
         let fresh = || Usage {
             rate: full(rate),
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Charges what an answer cost and frees its place.
+    /// Charges the cost of an answer and frees its slot.
     pub(crate) fn finish(&mut self, org: &Org, tokens: u64) {
         if let Some(used) = self.orgs.get_mut(org) {
             used.tokens.take(tokens as f64);
@@ -129,12 +129,12 @@
         }
     }
 
-    /// How many requests of the organisation are admitted and not ended.
+    /// Returns the number of the organisation's requests that are admitted and have not ended.
     pub(crate) fn running(&self, org: &Org) -> u64 {
         self.orgs.get(org).map_or(0, |u| u.running)
     }
 
-    /// Forgets organisations with nothing running that have been quiet for a while.
+    /// Drops organisations that have nothing running and were idle for a minute.
     pub(crate) fn prune(&mut self, now: Millis) {
         let quiet = |u: &Usage| u.running == 0 && now.since(u.rate.last()) > 60_000;
         self.orgs.retain(|_, u| !quiet(u));
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -1,5 +1,5 @@
-//! Which prefixes an upstream may hold: hints from its cache events and from what was
-//! sent there. Events come late and with gaps, so a hint is never relied upon.
+//! The prefixes that an upstream may have cached, taken from its cache events and from what was
+//! sent there. Events arrive late and with gaps, so these are only hints.
 
 use shaleline_types::stable_hash;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,15 +7,15 @@
 /// The characters of a prompt that one block of the prefix cache covers.
 pub const BLOCK_CHARS: usize = 64;
 
-/// The tokens of such a block, at four characters a token.
+/// The tokens of such a block, at four characters per token.
 pub const BLOCK_TOKENS: u32 = 16;
 
 const MAX_BLOCKS: usize = 64;
-/// More blocks than an engine's cache holds: some 130,000 tokens in parts of 100 or more.
+/// More blocks than an engine's cache holds: about 130,000 tokens in prompt parts of 100 or more.
 const MAX_HINTS: usize = 2_048;
 
-/// Hashes of a prompt's growing prefixes, one for each whole block. The salt keeps
-/// organisations apart, so that timing tells nothing about another's prompts.
+/// Returns the hashes of a prompt's prefixes, one for each whole block. The salt separates
+/// organisations, so that response times reveal nothing about another organisation's prompts.
 #[must_use]
 pub fn prefix_chain(salt: &str, prompt: &str) -> Vec<u64> {
     let mut chain = Vec::new();
@@ -29,7 +29,7 @@
     chain
 }
 
-/// A bounded set of block hashes, the oldest dropped first.
+/// A bounded set of block hashes; the oldest are dropped first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixHints {
     by_hash: BTreeMap<u64, u64>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// How many leading blocks of the chain may be cached.
+    /// Returns how many leading blocks of the chain may be cached.
     pub(crate) fn matched(&self, chain: &[u64]) -> usize {
         chain
             .iter()
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -1,16 +1,16 @@
-//! What waits for a route: urgent work first, then by organisation.
+//! The queue of a route: by priority, then by organisation.
 
 use shaleline_types::{Millis, Org, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One waiting request.
+/// A request in the queue.
 #[derive(Debug, Clone)]
 pub(crate) struct QueuedRequest {
     pub(crate) id: RequestId,
     pub(crate) due: Millis,
 }
 
-/// The head of one organisation's line.
+/// The first request of one organisation's queue.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Head<'a> {
     pub(crate) priority: u8,
@@ -18,12 +18,12 @@
     pub(crate) id: RequestId,
 }
 
-/// The lines of one route.
+/// The queues of one route, by priority and organisation.
 #[derive(Debug, Default)]
 pub(crate) struct RouteQueue {
     subqueues: BTreeMap<(u8, Org), VecDeque<QueuedRequest>>,
     len: usize,
-    /// The mean time between two departures while something waited.
+    /// The mean time between two departures while requests were queued.
     mean_interval: Option<f64>,
     last_departure: Option<Millis>,
 }
@@ -47,8 +47,8 @@
         self.len += 1;
     }
 
-    /// The head of every line, of all classes: the most urgent may have no place left for
-    /// its organisation, and then others come.
+    /// Returns the first request of every organisation and priority: where an organisation with
+    /// urgent requests has no slots left, the others come next.
     pub(crate) fn heads(&self) -> impl Iterator<Item = Head<'_>> {
         self.subqueues.iter().filter_map(|((priority, org), line)| {
             let id = line.front()?.id;
@@ -60,8 +60,8 @@
         })
     }
 
-    /// How many wait that would be served before a new request of this class, counting
-    /// only a fair share of each other organisation's line.
+    /// Returns how many queued requests would be served before a new one of this priority, counting
+    /// only a fair share of each other organisation's queue.
     pub(crate) fn ahead(&self, priority: u8, org: &Org) -> usize {
         let own = self
             .subqueues
@@ -98,7 +98,7 @@
         true
     }
 
-    /// Notes that a request left for an upstream.
+    /// Records that a request was sent to an upstream.
     pub(crate) fn on_departure(&mut self, now: Millis) {
         if let Some(last) = self.last_departure {
             let gap = now.since(last) as f64;
@@ -108,7 +108,7 @@
         self.last_departure = (!self.is_empty()).then_some(now);
     }
 
-    /// How long a request with so many ahead of it will wait, as far as is known.
+    /// Returns the expected wait of a request with `ahead` requests before it, if known.
     pub(crate) fn expected_wait(&self, ahead: usize, now: Millis) -> Option<Millis> {
         let mean = self.mean_interval?;
         let silent = self.last_departure.map_or(0, |l| now.since(l)) as f64;
@@ -116,13 +116,13 @@
         Some(Millis((mean * (ahead + 1) as f64) as u64))
     }
 
-    /// The requests whose time to start has passed.
+    /// Returns the requests that are past their latest start.
     pub(crate) fn overdue(&self, now: Millis) -> Vec<RequestId> {
         let waiting = self.subqueues.values().flatten();
         waiting.filter(|w| w.due <= now).map(|w| w.id).collect()
     }
 
-    /// All that wait.
+    /// Returns all queued requests.
     pub(crate) fn ids(&self) -> Vec<RequestId> {
         self.subqueues.values().flatten().map(|w| w.id).collect()
     }
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,4 +1,4 @@
-//! What goes into the router and what comes out.
+//! The events that the router takes and the actions it returns.
 
 use crate::{Limits, BLOCK_TOKENS};
 use shaleline_types::{
@@ -7,17 +7,17 @@
 };
 use std::fmt;
 
-/// Counts the sends of one request, from 1.
+/// The number of a send of one request, from 1.
 pub type AttemptNumber = u32;
 
-/// What a request is for.
+/// The model or service that a request is for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Route {
     /// A model, or an adapter on top of it.
     Model {
         /// The model.
         model: Model,
-        /// The adapter, if one is asked for.
+        /// The adapter, if one was requested.
         adapter: Option<Adapter>,
     },
     /// A plain service.
@@ -25,7 +25,7 @@
 }
 
 impl Route {
-    /// The model without its adapter, which decides how fast prompts are read.
+    /// Returns the model without its adapter, which determines how fast prompts are read.
     pub(crate) fn to_base(&self) -> Self {
         match self {
             Self::Model { model, .. } => Self::Model {
@@ -53,23 +53,22 @@
     }
 }
 
-/// What the caller's route lets the router do with a request, where that differs from
-/// the router's own settings.
+/// What the caller's route allows for a request, where it differs from the router's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestPolicy {
-    /// How long it may wait unsent; as long as `due` allows where absent. A request that
-    /// can't start soon is better refused while its caller has time to come back.
+    /// The longest time in the queue; up to `due` where absent. A request that can't start soon is
+    /// better refused while its caller has time to retry.
     pub max_wait: Option<Millis>,
-    /// How many upstreams it may reach at the most.
+    /// The most upstreams that it may reach.
     pub max_attempts: Option<AttemptNumber>,
-    /// How long a send may go without a first byte before it counts as hanging.
+    /// The time without a first byte after which a send counts as hanging.
     pub stall_timeout: Option<Millis>,
-    /// The longest expected time to a first byte with which it is sent at all.
+    /// The longest expected time to the first byte with which it is sent at all.
     pub max_expected: Option<Millis>,
     /// Whether upstreams serve it before work that is not urgent.
     pub urgent: bool,
-    /// The most work that prompts, its own included, may have ahead at an upstream to which
-    /// it is sent. A prompt that is larger by itself is sent where hardly any waits.
+    /// The largest prompt backlog, its own prompt included, at an upstream to which it is sent. A
+    /// prompt that exceeds it alone is sent where the backlog is nearly empty.
     pub backlog_limit: Option<Millis>,
 }
 
@@ -86,35 +85,35 @@
     }
 }
 
-/// What the other daemons together have at an upstream, as far as they told.
+/// The load of the other daemons at an upstream, as far as they reported it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerLoad {
-    /// Requests running or waiting there.
+    /// Requests that run or wait there.
     pub running: usize,
-    /// Work ahead of the first token of an urgent request, in milliseconds.
+    /// The backlog ahead of the first token of an urgent request, in milliseconds.
     pub urgent: f64,
-    /// Work ahead of the first token of any request, in milliseconds.
+    /// The backlog ahead of the first token of any request, in milliseconds.
     pub backlog: f64,
 }
 
-/// A request that asks for an upstream.
+/// A request to be routed to an upstream.
 #[derive(Debug, Clone)]
 pub struct RouteRequest {
-    /// The request.
+    /// The request's id.
     pub id: RequestId,
-    /// Whose it is.
+    /// The organisation of its caller.
     pub org: Org,
-    /// What it is for.
+    /// The model or service that it is for.
     pub route: Route,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The organisation's share among those of its priority.
+    /// The organisation's weight among requests of the same priority.
     pub weight: u64,
-    /// The work it asks for: prompt and answer tokens, at least 1.
+    /// The work in prompt and answer tokens, at least 1.
     pub cost: u64,
-    /// Hashes of the prompt's growing prefixes, see [`crate::prefix_chain`].
+    /// Hashes of the prompt's prefixes, see [`crate::prefix_chain`].
     pub prefix: Vec<u64>,
-    /// The tokens of each block of `prefix`; the usual size where absent.
+    /// The tokens of each block of `prefix`; [`BLOCK_TOKENS`] where absent.
     pub block_sizes: Vec<u32>,
     /// When its first token or answer is due.
     pub due: Millis,
@@ -124,17 +123,17 @@
     pub limits: Limits,
     /// What its route allows.
     pub policy: RequestPolicy,
-    /// What it has in common with its caller's other attempts; none where that is not known.
+    /// What it has in common with its caller's other attempts, if known.
     pub identity: Option<Identity>,
 }
 
 impl RouteRequest {
-    /// The tokens of the block at `index`.
+    /// Returns the tokens of the block at `index`.
     pub(crate) fn size(&self, index: usize) -> f64 {
         f64::from(self.block_sizes.get(index).copied().unwrap_or(BLOCK_TOKENS))
     }
 
-    /// When it is refused if it was not sent by then.
+    /// Returns the time at which it is refused if it was not sent by then.
     pub(crate) fn start_by(&self, now: Millis) -> Millis {
         let wait = self.policy.max_wait.map(|w| now.plus(w.0));
         wait.map_or(self.due, |at| at.min(self.due))
@@ -144,55 +143,55 @@
 /// How a send ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer came.
+    /// The whole answer was received.
     Whole,
     /// The connection failed before a byte of the request was written.
     NotSent,
-    /// The upstream said that it did not run it.
+    /// The upstream refused the request without running it.
     Refused,
-    /// It failed after the request was written.
+    /// The connection failed after the request was written.
     Broken,
-    /// The upstream itself ended under it.
+    /// The upstream ended while it ran the request.
     UpstreamEnded(StartTag),
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
 }
 
-/// What an upstream last said of itself. It lags.
+/// An upstream's own last report of its load, which lags.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// How many requests run.
+    /// Requests that run.
     pub running: usize,
-    /// How many wait.
+    /// Requests that wait.
     pub waiting: usize,
-    /// How many it runs at once within its target.
+    /// Requests that it can run at once within its target.
     pub slots: usize,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// Where an upstream stands and what it serves.
+/// The data centre of an upstream and what it serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamInfo {
-    /// Its data centre.
+    /// The data centre.
     pub centre: DataCentre,
-    /// What it serves now.
+    /// The models and services it serves now.
     pub routes: Vec<Route>,
 }
 
-/// What happened.
+/// An event for the router.
 #[derive(Debug, Clone)]
 pub enum RouteEvent {
     /// A request arrived.
     Arrive(Box<RouteRequest>),
-    /// The first byte of an answer came.
+    /// The first byte of an answer was received.
     FirstByte {
         /// The request.
         id: RequestId,
         /// The attempt it answers.
         attempt: AttemptNumber,
     },
-    /// More of an answer came.
+    /// More of an answer was received.
     Progress {
         /// The request.
         id: RequestId,
@@ -205,84 +204,84 @@
         id: RequestId,
         /// The attempt that ended.
         attempt: AttemptNumber,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone(RequestId),
     /// An upstream reported its load.
     Report {
         /// The upstream.
         upstream: Upstream,
-        /// What it said.
+        /// The reported load.
         load: Load,
     },
-    /// The other daemons told what they have at an upstream.
+    /// The other daemons reported their load at an upstream.
     PeerReport {
         /// The upstream.
         upstream: Upstream,
-        /// What they have there.
+        /// Their load there.
         load: PeerLoad,
     },
-    /// An upstream is there and serves these routes.
+    /// An upstream is available and serves these routes.
     Serves {
         /// The upstream.
         upstream: Upstream,
-        /// Where and what.
+        /// Its data centre and routes.
         info: UpstreamInfo,
     },
-    /// An upstream is to get no new work, or may again.
+    /// An upstream gets no new requests, or may get them again.
     Leaving {
         /// The upstream.
         upstream: Upstream,
         /// Whether it is leaving.
         on: bool,
     },
-    /// An upstream has started again under its name: what was learned of it is void.
+    /// An upstream has restarted under its name: what was learned about it no longer holds.
     Restarted(Upstream),
-    /// An upstream is gone.
+    /// An upstream no longer exists.
     Removed(Upstream),
-    /// An upstream may hold these prefixes in its cache.
+    /// An upstream may have cached these prefixes.
     Cached {
         /// The upstream.
         upstream: Upstream,
         /// Hashes from [`crate::prefix_chain`].
         blocks: Vec<u64>,
     },
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What to do.
+/// An action for the daemon to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteAction {
     /// Send the request.
     Send {
         /// The request.
         id: RequestId,
-        /// The attempt this is.
+        /// The number of this attempt.
         attempt: AttemptNumber,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: Upstream,
-        /// When its first byte is expected from now, as far as prompts decide that.
+        /// The expected time to its first byte, as far as prompts determine it.
         expected: Millis,
     },
-    /// Give up a send whose answer no longer counts.
+    /// Cancel a send whose answer no longer counts.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptNumber,
-        /// Where it was sent.
+        /// The upstream that it was sent to.
         upstream: Upstream,
     },
-    /// Tell the caller that it failed, now.
+    /// Fail the request at once.
     Refuse {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// When to come back, where that is known better than by kind.
+        /// The retry-after time, where it is known better than by the kind of error.
         retry: Option<Millis>,
     },
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,13 +1,13 @@
 //! A budget that keeps retries a small part of the traffic.
 
-/// What a budget allows.
+/// The size of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
-    /// The retries that each success earns.
+    /// The retries that each success adds.
     pub per_success: f64,
-    /// The most that may be saved up.
+    /// The most retries that may be saved up.
     pub max_saved: f64,
-    /// What there is to begin with.
+    /// The retries available at the start.
     pub initial: f64,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Retries that may be made now.
+/// The retries that may be made now.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     settings: RetrySettings,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes other settings; what was saved beyond them is lost.
+    /// Changes the settings; saved retries beyond the new maximum are lost.
     pub(crate) fn set(&mut self, settings: RetrySettings) {
         self.settings = settings;
         self.level = self.level.min(settings.max_saved);
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,5 +1,5 @@
-//! The decision itself: what is admitted and where it goes. How sends end is in `ending`,
-//! what happens to requests that wait or hang in `waiting`.
+//! The router's core: admission and dispatch. The module `ending` handles how sends end, and
+//! `waiting` handles requests that wait or hang.
 
 use crate::choose::{draw_by_cost, Chooser};
 use crate::estimate::TokenCosts;
@@ -22,14 +22,14 @@
 pub(crate) struct OpenRequest {
     pub(crate) request: RouteRequest,
     pub(crate) attempt: AttemptNumber,
-    /// How many sends may have reached an upstream.
+    /// The number of sends that may have reached an upstream.
     pub(crate) reached: AttemptNumber,
     pub(crate) upstream: Option<Upstream>,
     pub(crate) tried: Vec<Upstream>,
     pub(crate) first_byte: bool,
 }
 
-/// Admits, queues, sends, retries and refuses.
+/// Admits, queues, sends, retries and refuses requests.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) settings: RouterSettings,
@@ -38,9 +38,9 @@
     pub(crate) open: BTreeMap<RequestId, OpenRequest>,
     pub(crate) queues: BTreeMap<Route, RouteQueue>,
     pub(crate) upstreams: BTreeMap<Upstream, UpstreamState>,
-    /// The limits that stood in a request's way since they were last asked for.
+    /// The limits that refused a request since [`Router::take_exceeded`] was last called.
     exceeded: BTreeSet<(Org, LimitKind)>,
-    /// Upstreams that were told to be leaving, whether they are known yet or not.
+    /// Upstreams that were announced as leaving, whether they are known yet or not.
     leaving: BTreeSet<Upstream>,
     pub(crate) budget: RetryBudget,
     pub(crate) tokens: TokenCosts,
@@ -50,14 +50,14 @@
     pub(crate) stats: RouterStats,
     pub(crate) crashes: Crashes,
     pub(crate) copies: Copies,
-    /// What was found out about requests under which upstreams ended.
+    /// Crash notes that were not taken yet.
     pub(crate) crash_notes: Vec<CrashNote>,
-    /// When old state was dropped last.
+    /// The time of the last removal of old state.
     pub(crate) last_prune: Millis,
 }
 
 impl Router {
-    /// A router that knows no upstream yet.
+    /// Creates a router that knows no upstream yet.
     #[must_use]
     pub fn new(settings: RouterSettings, shares: ShareBook) -> Self {
         Self {
@@ -82,12 +82,12 @@
         }
     }
 
-    /// The shares of the limits.
+    /// Returns this daemon's shares of the limits.
     pub fn shares(&mut self) -> &mut ShareBook {
         &mut self.shares
     }
 
-    /// Lends another daemon what this one does not use of a limit.
+    /// Lends another daemon what this one doesn't use of a limit.
     pub fn lend(&mut self, org: &Org, kind: LimitKind, limits: &Limits, now: Millis) -> u64 {
         let in_use = match kind {
             LimitKind::Concurrency => self.limiter.running(org),
@@ -96,23 +96,23 @@
         self.shares.lend(org, kind, limits, in_use, now)
     }
 
-    /// The limits of which this daemon's part was too small since the last call: another
-    /// daemon may lend some.
+    /// Takes the limits of which this daemon's share was too small since the last call, as another
+    /// daemon may lend some of its share.
     pub fn take_exceeded(&mut self) -> Vec<(Org, LimitKind)> {
         std::mem::take(&mut self.exceeded).into_iter().collect()
     }
 
-    /// Takes another budget for retries, as the number of daemons changes.
+    /// Changes the retry budget, as the number of daemons changes.
     pub fn set_retries(&mut self, retries: RetrySettings) {
         self.budget.set(retries);
     }
 
-    /// Sets how well it is known what other daemons send.
+    /// Sets how well this daemon knows what other daemons send.
     pub fn set_peer_visibility(&mut self, visibility: PeerVisibility) {
         self.visibility = visibility;
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn step(&mut self, event: RouteEvent, now: Millis) -> Vec<RouteAction> {
         let mut out = Vec::new();
         match event {
@@ -120,7 +120,7 @@
             RouteEvent::FirstByte { id, attempt } => {
                 let upstream = self.open.get(&id).and_then(|o| o.upstream.clone());
                 self.on_byte(id, attempt, true, now);
-                // Its prompt is read, so others may follow.
+                // The prompt has been read, so the upstream may take others.
                 if let Some(upstream) = upstream {
                     self.dispatch_queued(&upstream, now, &mut out);
                 }
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Remembered beyond the upstream's own entry: one that is told to be leaving before
-    /// it is known, or falls silent and comes back, is leaving all the same.
+    /// Stores the flag apart from the upstream's own entry, so that it also holds for an upstream
+    /// that is announced as leaving before it is known, or that disappears and returns.
     pub(crate) fn set_leaving(&mut self, upstream: &Upstream, on: bool) {
         if on {
             self.leaving.insert(upstream.clone());
@@ -253,8 +253,8 @@
         out.push(RouteAction::Refuse { id, kind, retry });
     }
 
-    /// Sends a request at once if an upstream has room and nobody waits before it;
-    /// otherwise it waits.
+    /// Sends a request at once if an upstream has a free slot and no request is queued before it;
+    /// otherwise queues it.
     pub(crate) fn dispatch(&mut self, id: RequestId, now: Millis, out: &mut Vec<RouteAction>) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -377,11 +377,11 @@
     }
 }
 
-/// The least silence that counts as hanging, however little time a request has.
+/// The shortest silence that counts as hanging, however little time a request has left.
 const MIN_STALL_MS: u64 = 200;
 
-/// Half of the time that a request has left, so that another upstream can still meet its
-/// target; never more than the setting.
+/// Returns half of the time that a request has left, so that another upstream can still meet its
+/// target, and at most the setting.
 fn stall_timeout(setting: Millis, due: Millis, now: Millis) -> u64 {
     setting.0.min((due.since(now) / 2).max(MIN_STALL_MS))
 }
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator sets of the router.
+//! The router's settings.
 
 use crate::{AttemptNumber, ChoicePolicy, RetrySettings};
 use shaleline_types::{DataCentre, Millis};
@@ -6,18 +6,18 @@
 /// How well a router knows what other daemons send to the same upstreams.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerVisibility {
-    /// How much work, in milliseconds, the others may have sent to an upstream that is not known
-    /// here yet.
+    /// The work in milliseconds that other daemons may have sent to an upstream and that is not
+    /// known here yet.
     pub unseen_ms: f64,
-    /// The part of a pace, see [`crate::RequestPolicy::pace`], that this daemon's own prompts may have
-    /// ahead at an upstream. Where the others send as well, and what they have there is known a
-    /// fifth of a second late, 0.1 in place of 1 had 686 in place of 670 of 1,000 chats on crowded
-    /// days in time, by 30 days played.
+    /// The fraction of a backlog limit ([`crate::RequestPolicy::backlog_limit`]) that this daemon's
+    /// own prompts may take at an upstream. Where other daemons send as well and their load is
+    /// known 200 ms late, 0.1 served 686 of 1,000 chats in time on overloaded days, and 1 served
+    /// 670 (30 simulated days).
     pub own_share: f64,
 }
 
 impl Default for PeerVisibility {
-    /// That of the only daemon that sends.
+    /// The visibility of the only daemon that sends.
     fn default() -> Self {
         Self {
             unseen_ms: 0.0,
@@ -26,33 +26,32 @@
     }
 }
 
-/// What an operator sets.
+/// The router's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouterSettings {
     /// This daemon's data centre.
     pub home: DataCentre,
-    /// How many requests may wait for one route.
+    /// The most requests that may wait for one route.
     pub queue_limit: usize,
-    /// How long a send may go without a first byte, while nothing else comes from the
-    /// upstream either, before it counts as hanging.
+    /// The time without a first byte after which a send counts as hanging, if nothing else is
+    /// received from the upstream either.
     pub stall_timeout: Millis,
-    /// How many times a request is sent at the most.
+    /// The most sends of a request.
     pub max_attempts: AttemptNumber,
     /// How upstreams are chosen.
     pub choice: ChoicePolicy,
     /// Whether requests that can't meet their target are refused early.
     pub shed: bool,
-    /// What one token of a prompt costs an engine in milliseconds, where nothing was
-    /// measured yet.
+    /// The initial estimate of a prompt token's cost to an engine, in milliseconds.
     pub token_ms: f64,
-    /// The budget for retries.
+    /// The retry budget.
     pub retries: RetrySettings,
-    /// Where the draws of this router begin.
+    /// The seed of the router's random numbers.
     pub seed: u64,
 }
 
 impl RouterSettings {
-    /// The defaults for a daemon in this data centre.
+    /// Returns the defaults for a daemon in this data centre.
     #[must_use]
     pub fn new(home: DataCentre) -> Self {
         Self {
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -1,24 +1,24 @@
-//! The part of each organisation's limits that this daemon may use.
+//! This daemon's share of each organisation's limits.
 //!
-//! A limit is divided over the live daemons without a rest, so that the parts add up to
-//! it. A part shrinks at once and grows late, so that the sum also holds while daemons
-//! do not yet agree on who is alive. What one daemon does not use it lends to another for
-//! a while; the lender counts a loan as longer than the borrower does.
+//! A limit is divided over the live daemons without remainder, so that the shares add up to it. A
+//! share shrinks at once and grows with a delay, so that the sum holds even while daemons disagree
+//! on which of them are alive. A daemon lends what it doesn't use to another for a limited time;
+//! the lender counts the loan for longer than the borrower does.
 
 use crate::{LimitKind, Limits};
 use shaleline_types::{rank, Millis, Org};
 use std::collections::BTreeMap;
 
-/// How long a larger part must be due before it is used: longer than daemons take to
-/// agree on who is alive.
+/// The delay before a larger share is used: longer than daemons take to agree on which of them are
+/// alive.
 const GROW_DELAY_MS: u64 = 3_000;
 
-/// How long a loan lasts for the borrower, and how much longer the lender counts it.
+/// The duration of a loan for the borrower, and how much longer the lender counts it.
 const LOAN_MS: u64 = 10_000;
 const LOAN_MARGIN_MS: u64 = 2_000;
 
-/// The part of `limit` that the daemon `me` gets among `members`, which must include it.
-/// The parts of all members add up to the limit.
+/// Returns the share of `limit` of the daemon `me` among `members`, which must include it. The
+/// shares of all members add up to the limit.
 #[must_use]
 pub fn share_of(limit: u64, key: &str, me: &str, members: &[&str]) -> u64 {
     let count = members.len().max(1) as u64;
@@ -45,19 +45,20 @@
     open.map(|l| l.amount).sum()
 }
 
-/// The parts of all limits that this daemon may use.
+/// This daemon's shares of all limits.
 #[derive(Debug, Default)]
 pub struct ShareBook {
     me: String,
     members: Vec<String>,
-    /// Members to divide by, each with the time until which it still counts.
+    /// Departed members by which the limits are still divided, each with the time until which it
+    /// counts.
     departed: BTreeMap<String, Millis>,
     grows_at: Option<Millis>,
     accounts: BTreeMap<(Org, LimitKind), Account>,
 }
 
 impl ShareBook {
-    /// The book of a daemon that is alone and may use everything at once; only for one
+    /// Creates the shares of a single daemon, which may use everything at once; only for a daemon
     /// that knows it has no peers.
     #[must_use]
     pub fn alone(me: &str) -> Self {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The book of a daemon that joins others: its part starts at nothing.
+    /// Creates the shares of a daemon that joins others, which start at zero.
     #[must_use]
     pub fn joining(me: &str, now: Millis) -> Self {
         Self {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes note of who is alive. Whoever goes still counts for a while.
+    /// Sets the live members. A member that departed counts for a while longer.
     pub fn set_members(&mut self, members: &[&str], now: Millis) {
         for gone in &self.members {
             if !members.contains(&gone.as_str()) && *gone != self.me {
@@ -93,7 +94,7 @@
         self.departed.retain(|_, until| *until > now);
     }
 
-    /// How many daemons the limits are divided by.
+    /// Returns the number of daemons by which the limits are divided.
     #[must_use]
     pub fn divisor(&self, now: Millis) -> usize {
         self.counted_members(now).len()
@@ -108,7 +109,7 @@
         all
     }
 
-    /// This daemon's own part, loans apart.
+    /// Returns this daemon's own share, without loans.
     fn own_share(&self, org: &Org, limit: u64, now: Millis) -> u64 {
         match self.grows_at {
             Some(at) if now < at => 0,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The part of a limit that this daemon may use now.
+    /// Returns the share of a limit that this daemon may use now, with loans.
     #[must_use]
     pub fn share(&self, org: &Org, kind: LimitKind, limit: u64, now: Millis) -> u64 {
         let own = self.own_share(org, limit, now);
@@ -127,8 +128,8 @@
         plus.saturating_sub(sum(&account.lent, now))
     }
 
-    /// Lends part of what is idle, half of its own part at the most, so that one daemon's
-    /// flood can't take the others' parts away. Returns what was lent.
+    /// Lends idle share, up to half of this daemon's own share, so that a burst at one daemon can't
+    /// take the shares of the others. Returns the amount lent.
     pub fn lend(
         &mut self,
         org: &Org,
@@ -157,7 +158,7 @@
         amount
     }
 
-    /// Takes a loan that was asked for at `asked`.
+    /// Adds a loan that was requested at `asked`.
     pub fn borrow(&mut self, org: &Org, kind: LimitKind, amount: u64, asked: Millis) {
         if amount == 0 {
             return;
@@ -170,7 +171,7 @@
         });
     }
 
-    /// Forgets loans that have ended.
+    /// Drops loans that have expired.
     pub fn prune(&mut self, now: Millis) {
         let open = |a: &Account| sum(&a.lent, now) + sum(&a.borrowed, now) > 0;
         self.accounts.retain(|_, a| open(a));
--- a/crates/route/src/stats.rs
+++ b/crates/route/src/stats.rs
@@ -1,45 +1,45 @@
-//! What a router can tell of itself.
+//! The router's statistics.
 
 use serde::Serialize;
 
-/// Counters since the start, and what is there now.
+/// Counters since the start, and current gauges.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct RouterStats {
     /// Requests that arrived.
     pub arrived: u64,
     /// Sends.
     pub sent: u64,
-    /// Sends that were repeats.
+    /// Sends that were retries.
     pub retried: u64,
     /// Refusals.
     pub refused: u64,
-    /// Late answers to old attempts that were dropped.
+    /// Late answers to earlier attempts, which were dropped.
     pub late: u64,
     /// Breakers that opened.
     pub opened: u64,
-    /// Requests that wait now.
+    /// Requests that are queued now.
     pub waiting: usize,
-    /// Requests that are admitted and not ended now.
+    /// Requests that are admitted and have not ended.
     pub open: usize,
 }
 
-/// What the router knows of an upstream now.
+/// The state of an upstream as known to the router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct UpstreamStats {
-    /// Its name.
+    /// The upstream's name.
     pub name: String,
     /// Its data centre.
     pub centre: String,
-    /// What it serves.
+    /// The routes it serves.
     pub routes: Vec<String>,
-    /// This daemon's requests there.
+    /// Requests of this daemon that are in flight there.
     #[serde(rename = "flights")]
     pub in_flight: usize,
     /// All requests there, as far as is known.
     pub busy: usize,
-    /// How many it takes at once.
+    /// Requests that it can run at once.
     pub slots: usize,
-    /// Whether it gets no new work.
+    /// Whether it gets no new requests.
     pub leaving: bool,
     /// Whether its breaker is closed.
     pub healthy: bool,
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What the router knows of one upstream.
+//! The router's state of one upstream.
 
 use crate::breaker::{Breaker, BreakerState};
 use crate::estimate::Slowness;
@@ -7,34 +7,34 @@
 use shaleline_types::{Millis, Org, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many places an upstream has before it reported any.
+/// The slots of an upstream that has not reported any.
 const DEFAULT_SLOTS: usize = 8;
 
-/// An organisation that has sent nothing for so long no longer counts as a neighbour.
+/// The time without sends after which an organisation no longer counts as sharing an upstream.
 const NEIGHBOUR_TIMEOUT_MS: u64 = 30_000;
 
-/// A send in flight.
+/// A request in flight.
 #[derive(Debug, Clone)]
 pub(crate) struct InFlight {
     pub(crate) org: Org,
     pub(crate) sent: Millis,
-    /// How long it may go without a first byte before it counts as hanging.
+    /// The time in milliseconds without a first byte after which it counts as hanging.
     pub(crate) stall: u64,
     pub(crate) answered: bool,
     pub(crate) urgent: bool,
-    /// The time that reading its prompt takes there, in milliseconds.
+    /// The time in milliseconds that the upstream needs to read its prompt.
     pub(crate) work: f64,
-    /// The time to its first byte that was expected when it was sent, in milliseconds.
+    /// The time in milliseconds to its first byte that was expected when it was sent.
     pub(crate) expected: f64,
 }
 
-/// One result in so many moves the share of failures.
+/// The weight of one result in the moving average of failures.
 const FAILURE_STEP: f64 = 0.2;
 
-/// Half of the share of failures is forgotten in so many milliseconds.
+/// The half-life of the average of failures, in milliseconds.
 const FAILURE_HALF_LIFE_MS: f64 = 3_000.0;
 
-/// The share of sends that failed lately.
+/// The recent fraction of sends that failed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Failures {
     share: f64,
@@ -60,12 +60,12 @@
     in_flight: usize,
 }
 
-/// How long an upstream is passed over for a model that it refused: an engine that drops a
-/// model takes that long to say so in its record, and one that is full has a queue of some
-/// hundred milliseconds.
+/// How long an upstream is skipped for a model that it refused. An engine that unloads a model
+/// takes that long to report it, and an engine that is full has a queue of some hundred
+/// milliseconds.
 const MODEL_PAUSE_MS: u64 = 500;
 
-/// The same for a plain service, whose places free every few milliseconds.
+/// The same for a plain service, whose slots become free every few milliseconds.
 const SERVICE_PAUSE_MS: u64 = 30;
 
 /// One upstream as this daemon sees it.
@@ -74,7 +74,7 @@
     pub(crate) site: UpstreamInfo,
     pub(crate) routes: BTreeSet<Route>,
     pub(crate) load: Load,
-    /// What the other daemons had running there when it reported.
+    /// The requests that other daemons had there when it reported.
     peer_requests: usize,
     pub(crate) in_flight: BTreeMap<RequestId, InFlight>,
     pub(crate) breaker: Breaker,
@@ -83,14 +83,14 @@
     peers: PeerLoad,
     peers_at: Millis,
     pub(crate) hints: PrefixHints,
-    /// Told by the list, by an operator or by the upstream itself.
+    /// Whether the member list, an operator or the upstream itself announced that it is leaving.
     pub(crate) leaving: bool,
     pub(crate) last_byte: Millis,
-    /// What it refused to run, and until when it is passed over for that.
+    /// The routes that it refused, and until when it is skipped for them.
     refused: BTreeMap<Route, Millis>,
     fair_shares: BTreeMap<Org, FairShare>,
     virtual_time: f64,
-    /// How many requests that had waited were sent there.
+    /// The number of queued requests that were sent there.
     pub(crate) departures: u64,
 }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Forgets what was learned of it. Sends that are under way end by themselves.
+    /// Resets what was learned about the upstream. Requests in flight end on their own.
     pub(crate) fn reset_learned(&mut self) {
         let site = self.site.clone();
         let in_flight = std::mem::take(&mut self.in_flight);
@@ -134,8 +134,8 @@
         };
     }
 
-    /// Notes that it refused a request: it is full, or about to drop the model. Those that
-    /// come next would be refused as well.
+    /// Records that it refused a request because it is full or about to unload the model, as it
+    /// would refuse the next ones as well.
     pub(crate) fn record_refusal(&mut self, route: &Route, now: Millis) {
         let pause = match route {
             Route::Model { .. } => MODEL_PAUSE_MS,
@@ -144,7 +144,7 @@
         self.refused.insert(route.to_base(), now.plus(pause));
     }
 
-    /// Whether it refused such a request a moment ago.
+    /// Returns whether it recently refused a request for this route.
     pub(crate) fn is_refusing(&self, route: &Route, now: Millis) -> bool {
         let until = self.refused.get(&route.to_base());
         until.is_some_and(|u| now < *u)
@@ -155,28 +155,28 @@
         self.site = site;
     }
 
-    /// Notes a report. What it counts beyond this daemon's own sends is the others'.
+    /// Records a report. Requests beyond this daemon's own are those of other daemons.
     pub(crate) fn on_report(&mut self, load: Load) {
         let reported = load.running + load.waiting;
         self.peer_requests = reported.saturating_sub(self.in_flight.len());
         self.load = load;
     }
 
-    /// Notes what the other daemons have there.
+    /// Records the load of the other daemons.
     pub(crate) fn on_peers(&mut self, load: PeerLoad, now: Millis) {
         self.peer_requests = load.running;
         self.peers = load;
         self.peers_at = now;
     }
 
-    /// The uncached tokens of a prompt.
+    /// Returns the uncached tokens of a prompt.
     pub(crate) fn uncached_tokens(&self, request: &RouteRequest) -> f64 {
         let warm = self.hints.matched(&request.prefix);
         (warm..request.prefix.len()).map(|i| request.size(i)).sum()
     }
 
-    /// The time until what is ahead of a new request is read, in milliseconds. What the
-    /// other daemons told grows old: meanwhile the engine works it off.
+    /// Returns the time in milliseconds until the prompts ahead of a new request are read. The load
+    /// that other daemons reported shrinks with its age, as the engine works it off.
     pub(crate) fn backlog(&self, urgent: bool, now: Millis) -> f64 {
         let load = self.own_load();
         let (own, peers) = if urgent {
@@ -187,7 +187,7 @@
         own + (peers - now.since(self.peers_at) as f64).max(0.0)
     }
 
-    /// What this daemon has there.
+    /// Returns this daemon's load there.
     pub(crate) fn own_load(&self) -> PeerLoad {
         let open = self.in_flight.values().filter(|f| !f.answered);
         let mut load = PeerLoad {
@@ -209,7 +209,7 @@
         }
     }
 
-    /// How many requests it has, as far as is known.
+    /// Returns the number of requests there, as far as is known.
     pub(crate) fn busy(&self) -> usize {
         self.in_flight.len() + self.peer_requests
     }
@@ -218,7 +218,7 @@
         self.leaving || self.load.leaving
     }
 
-    /// Whether one more request may be sent.
+    /// Returns whether one more request may be sent.
     pub(crate) fn has_room(&self, now: Millis) -> bool {
         if self.is_leaving() && shaleline_types::Safeguard::LeavingStop.active() {
             return false;
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Whether this organisation may take one more place. While others use the upstream,
-    /// a part of the places stays free of any one organisation.
+    /// Returns whether this organisation may take one more slot. While others use the upstream, a
+    /// quarter of the slots stays free of any one organisation.
     pub(crate) fn has_room_for(&self, org: &Org, now: Millis) -> bool {
         if !self.has_room(now) {
             return false;
@@ -248,7 +248,7 @@
         own < slots - slots.div_ceil(4).min(slots - 1)
     }
 
-    /// The virtual time at which the organisation's next request would start.
+    /// Returns the virtual time at which the organisation's next request would start.
     pub(crate) fn virtual_start(&self, org: &Org) -> f64 {
         self.fair_shares
             .get(org)
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -1,4 +1,4 @@
-//! What the router shows of its state.
+//! The parts of the router's state that it exposes.
 
 use crate::breaker::BreakerState;
 use crate::queue::RouteQueue;
@@ -7,7 +7,7 @@
 use shaleline_types::{Millis, RequestId, Upstream};
 
 impl Router {
-    /// Counters and gauges.
+    /// Returns counters and gauges.
     #[must_use]
     pub fn stats(&self) -> RouterStats {
         RouterStats {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// What is known of each upstream.
+    /// Returns the state of each upstream.
     #[must_use]
     pub fn upstreams(&self, now: Millis) -> Vec<UpstreamStats> {
         let one = |(name, state): (&Upstream, &UpstreamState)| UpstreamStats {
@@ -33,49 +33,50 @@
         self.upstreams.iter().map(one).collect()
     }
 
-    /// Whether an upstream gets no new work; none where it is not known.
+    /// Returns whether an upstream gets no new requests, or `None` if it is not known.
     #[must_use]
     pub fn is_leaving(&self, upstream: &Upstream) -> Option<bool> {
         self.upstreams.get(upstream).map(UpstreamState::is_leaving)
     }
 
-    /// Where a request was sent, while that send has not ended.
+    /// Returns the upstream that a request is in flight to.
     #[must_use]
     pub fn upstream_of(&self, id: RequestId) -> Option<&Upstream> {
         self.open.get(&id)?.upstream.as_ref()
     }
 
-    /// Notes that bytes came from an upstream: requests that wait there do not hang.
+    /// Records that bytes were received from an upstream, so requests that wait there don't count
+    /// as hanging.
     pub fn record_activity(&mut self, upstream: &Upstream, now: Millis) {
         if let Some(state) = self.upstreams.get_mut(upstream) {
             state.last_byte = now;
         }
     }
 
-    /// What this daemon itself has at an upstream, for the other daemons.
+    /// Returns this daemon's own load at an upstream, to be reported to other daemons.
     #[must_use]
     pub fn own_load(&self, upstream: &Upstream) -> Option<PeerLoad> {
         self.upstreams.get(upstream).map(|b| b.own_load())
     }
 
-    /// What one uncached token of a prompt costs for this route, in milliseconds.
+    /// Returns the cost of one uncached prompt token for this route, in milliseconds.
     #[must_use]
     pub fn token_cost(&self, route: &Route) -> f64 {
         self.tokens.get(route, self.settings.token_ms)
     }
 
-    /// The names of the upstreams known.
+    /// Returns the names of the known upstreams.
     pub fn upstream_names(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.keys()
     }
 
-    /// Whether some upstream serves the route and takes new work.
+    /// Returns whether some upstream serves the route and takes new requests.
     #[must_use]
     pub fn is_served(&self, route: &Route) -> bool {
         self.serving_count(route) > 0
     }
 
-    /// How many upstreams serve the route and take new work.
+    /// Returns how many upstreams serve the route and take new requests.
     #[must_use]
     pub fn serving_count(&self, route: &Route) -> usize {
         let serves = |b: &&UpstreamState| !b.is_leaving() && b.routes.contains(route);
--- a/crates/route/src/waiting.rs
+++ b/crates/route/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait or hang: they are sent as soon as there is room, moved, or given up.
+//! Requests that wait or hang: they are sent once a slot is free, rerouted, or failed.
 
 use crate::queue::RouteQueue;
 use crate::router::OpenRequest;
@@ -6,15 +6,15 @@
 use crate::{RouteAction, Router};
 use shaleline_types::{ErrorKind, Millis, RequestId, Upstream};
 
-/// How often old state is dropped, in milliseconds.
+/// The interval between removals of old state, in milliseconds.
 const PRUNE_INTERVAL_MS: u64 = 1_000;
 
-/// One in so many places that become free goes to the least urgent request that waits: with urgent work
-/// alone on an upstream that has too much of it, all other would wait until its time is over.
+/// One in this many freed slots goes to the least urgent request that waits. On an upstream with
+/// too many urgent requests, all others would otherwise wait until their deadline.
 const LEAST_URGENT_INTERVAL: u64 = 16;
 
 impl Router {
-    /// Serves what waits for this upstream, while it has room.
+    /// Sends queued requests to this upstream while it has free slots.
     pub(crate) fn dispatch_queued(
         &mut self,
         upstream: &Upstream,
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The most urgent request that may go there, the organisation served least first; now and then the
-    /// least urgent one.
+    /// Returns the most urgent request that may be sent there, from the organisation served least;
+    /// at intervals, the least urgent one.
     pub(crate) fn next_for(&self, upstream: &Upstream, now: Millis) -> Option<RequestId> {
         let state = self.upstreams.get(upstream)?;
         if !state.has_room(now) {
@@ -55,7 +55,7 @@
             let in_time =
                 open.is_none_or(|o| self.chooser(&o.request, now).allows(state, &o.request));
             let refusing = open.is_some_and(|o| state.is_refusing(&o.request.route, now));
-            // After a suspension its time may be over before the next tick gives it up.
+            // After a suspension the deadline may have passed before the next tick fails it.
             let due = open.is_none_or(|o| o.request.due > now);
             let may_send_to =
                 due && open.is_none_or(|o| self.may_send_to(&o.request, upstream, state));
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Serves what waits wherever there is room by now.
+    /// Sends queued requests wherever slots are free.
     pub(crate) fn dispatch_all_queued(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         if self.queues.values().all(RouteQueue::is_empty) {
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What can no longer start in time gets its final answer now.
+    /// Fails requests that can no longer start in time.
     pub(crate) fn refuse_overdue(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         let overdue: Vec<RequestId> = self.queues.values().flat_map(|q| q.overdue(now)).collect();
         for id in overdue {
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Opens the breaker of an upstream from which nothing comes while requests hang, and
-    /// sends those elsewhere that may be repeated.
+    /// Opens the breaker of an upstream that is silent while requests hang, and reroutes those that
+    /// are repeatable.
     pub(crate) fn reroute_stalled(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         let mut stalled = Vec::new();
         let working = self
@@ -180,7 +180,7 @@
         self.send(id, &upstream, now, out);
     }
 
-    /// Takes every waiting request back, for a daemon that stops and has waited enough.
+    /// Fails all queued requests, for a daemon that stops and has waited long enough.
     pub fn refuse_waiting(&mut self, out: &mut Vec<RouteAction>) {
         let ids: Vec<RequestId> = self.queues.values().flat_map(RouteQueue::ids).collect();
         self.queues.clear();
