--- a/crates/place/src/baseline.rs
+++ b/crates/place/src/baseline.rs
@@ -1,18 +1,18 @@
-//! Baselines that the policy has to beat, kept in the tree so that they stay comparable.
+//! Baseline policies for comparison with the planner, kept here so that they stay comparable.
 
 use crate::{EngineLedger, Item, PlanInput, Policy, SlotState, Step};
 use shaleline_types::{Megabytes, Millis, Model, Upstream};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Spreads replicas round robin once and never moves anything.
+/// Spreads replicas round robin once and never moves them.
 #[derive(Debug, Default)]
 pub struct StaticPlanner {
     targets: Option<BTreeMap<Upstream, Vec<(Item, Megabytes)>>>,
 }
 
 impl StaticPlanner {
-    /// First one replica of everything, largest first, then more in the same order while
-    /// memory lasts.
+    /// Assigns one replica of everything, largest first, then more in the same order while memory
+    /// lasts.
     fn assign(plan: PlanInput<'_>) -> BTreeMap<Upstream, Vec<(Item, Megabytes)>> {
         let mut free: BTreeMap<&Upstream, u64> =
             plan.ledgers.iter().map(|(e, b)| (e, b.memory.0)).collect();
@@ -70,16 +70,21 @@
     }
 }
 
-/// Loads a model when it is asked for and none is loaded, and drops what was used least
-/// recently. It gives no thought to staying reachable.
+/// Loads a model when it is requested and not loaded, and evicts the least recently used item. It
+/// doesn't keep models reachable.
 #[derive(Debug, Default)]
 pub struct LruPlanner;
 
 impl LruPlanner {
-    fn stalest(ledger: &EngineLedger, plan: PlanInput<'_>) -> Option<Item> {
-        let bare = |i: &&Item| ledger.holds(i) && !(i.is_base() && ledger.carries_adapter(i));
+    fn least_recently_used(ledger: &EngineLedger, plan: PlanInput<'_>) -> Option<Item> {
+        let removable = |i: &&Item| ledger.holds(i) && !(i.is_base() && ledger.has_adapter(i));
         let age = |i: &&Item| (plan.demand.last_use(&i.model), i.is_base());
-        ledger.slots.keys().filter(bare).min_by_key(age).cloned()
+        ledger
+            .slots
+            .keys()
+            .filter(removable)
+            .min_by_key(age)
+            .cloned()
     }
 
     fn needs(plan: PlanInput<'_>, now: Millis) -> Vec<(Item, Megabytes)> {
@@ -142,14 +147,14 @@
     }
 }
 
-/// Drops the item used least recently over all open engines, if it is not in use now.
+/// Unloads the least recently used item of all open engines, unless it was used recently.
 fn evict(
     plan: PlanInput<'_>,
     open: &[(&Upstream, &EngineLedger)],
     recent: &BTreeSet<Model>,
 ) -> Option<Step> {
     let victims = open.iter().filter_map(|(e, b)| {
-        let item = LruPlanner::stalest(b, plan)?;
+        let item = LruPlanner::least_recently_used(b, plan)?;
         Some((plan.demand.last_use(&item.model), *e, item))
     });
     let (_, engine, item) = victims
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -1,4 +1,4 @@
-//! How much each model is asked for, by a short and a long average.
+//! The demand for each model, as a short and a long moving average.
 
 use shaleline_types::{Millis, Model};
 use std::collections::BTreeMap;
@@ -6,8 +6,8 @@
 const SHORT_MS: f64 = 10_000.0;
 const LONG_MS: f64 = 120_000.0;
 
-/// A rate below this is not worth telling.
-const LEAST_RATE: f64 = 0.01;
+/// Rates below this are not reported.
+const MIN_RATE: f64 = 0.01;
 
 #[derive(Debug, Clone, Default)]
 struct Average {
@@ -19,23 +19,23 @@
 
 impl Average {
     fn decay(&mut self, now: Millis) {
-        let gone = now.since(self.last) as f64;
-        self.short *= (-gone / SHORT_MS).exp();
-        self.long *= (-gone / LONG_MS).exp();
+        let elapsed = now.since(self.last) as f64;
+        self.short *= (-elapsed / SHORT_MS).exp();
+        self.long *= (-elapsed / LONG_MS).exp();
         self.last = self.last.max(now);
     }
 }
 
-/// Work asked for per model. The unit is the caller's; engines' capacity must use the
+/// The work requested per model. The unit is the caller's; the capacity of engines must use the
 /// same one.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     models: BTreeMap<Model, Average>,
-    elsewhere: BTreeMap<Model, f64>,
+    peer_rates: BTreeMap<Model, f64>,
 }
 
 impl Demand {
-    /// Notes that `work` was asked of a model.
+    /// Records that `work` was requested of a model.
     pub fn record(&mut self, model: &Model, work: f64, now: Millis) {
         if !self.models.contains_key(model) {
             self.models.insert(model.clone(), Average::default());
@@ -48,30 +48,29 @@
         }
     }
 
-    /// Sets what other daemons report to be asked of each model, in work a second.
+    /// Sets the demand that other daemons report for each model, in work per second.
     pub fn set_peer_rates(&mut self, rates: BTreeMap<Model, f64>) {
-        self.elsewhere = rates;
+        self.peer_rates = rates;
     }
 
-    /// The work a second asked at this daemon alone, by model.
+    /// Returns the work per second requested at this daemon, by model.
     #[must_use]
     pub fn own_rates(&self, now: Millis) -> BTreeMap<Model, f64> {
         let rates = self
             .models
             .keys()
             .map(|m| (m.clone(), self.own_rate(m, now)));
-        rates.filter(|(_, r)| *r > LEAST_RATE).collect()
+        rates.filter(|(_, r)| *r > MIN_RATE).collect()
     }
 
-    /// The work a second to provide for, at this daemon and elsewhere.
+    /// Returns the work per second to provide for, at this daemon and others.
     #[must_use]
     pub fn rate(&self, model: &Model, now: Millis) -> f64 {
-        let elsewhere = self.elsewhere.get(model).copied().unwrap_or(0.0);
-        self.own_rate(model, now) + elsewhere
+        let peer_rates = self.peer_rates.get(model).copied().unwrap_or(0.0);
+        self.own_rate(model, now) + peer_rates
     }
 
-    /// The work a second to provide for: the larger of both averages, so that a burst is
-    /// followed at once and forgotten slowly.
+    /// Returns the larger of both averages, so that a burst counts at once and decays slowly.
     fn own_rate(&self, model: &Model, now: Millis) -> f64 {
         let Some(average) = self.models.get(model) else {
             return 0.0;
@@ -83,7 +82,7 @@
         short.max(long)
     }
 
-    /// When the model was asked for last.
+    /// Returns the time at which the model was last requested.
     #[must_use]
     pub fn last_use(&self, model: &Model) -> Millis {
         self.models.get(model).map_or(Millis(0), |a| a.used)
--- a/crates/place/src/dispatch.rs
+++ b/crates/place/src/dispatch.rs
@@ -1,26 +1,26 @@
-//! From the ledger and the engines' reports to orders, repeats and settlements.
+//! Derives orders, resends and settlements from the ledger and the engines' reports.
 
 use crate::{CellBody, CellMachine, CellVerdict, EngineLedger, Item, Slot, SlotState, Step};
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Megabytes, Millis, Offset, Safeguard, Upstream};
 use std::collections::BTreeMap;
 
-/// How long an order may go without a sign before it is sent again.
-const RESEND_AFTER: u64 = 3_000;
+/// The time without a response after which an order is sent again.
+const RESEND_AFTER_MS: u64 = 3_000;
 
-/// How long an item must be missing from reports before the ledger drops it; longer than
-/// any lag of reports.
-const MISSING_AFTER: u64 = 10_000;
+/// How long an item must be missing from reports before the ledger drops it; longer than any lag of
+/// reports.
+const MISSING_AFTER_MS: u64 = 10_000;
 
-/// What an order asks of an engine.
+/// The kind of an order to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderKind {
     /// Load an item.
     Load,
-    /// Unload an item, after what runs on it has ended.
+    /// Unload an item after the requests that use it have ended.
     Unload,
-    /// Take note of the number only.
+    /// Record the fencing number without any other effect.
     #[serde(rename = "touch")]
     NoOp,
 }
@@ -30,27 +30,27 @@
 pub struct Order {
     /// The engine.
     pub engine: Upstream,
-    /// The offset of its intent: identity and fencing number in one.
+    /// The offset of its intent, which is both its identity and its fencing number.
     pub number: Offset,
-    /// What it asks.
+    /// The kind of order.
     pub kind: OrderKind,
-    /// What it is about; none for a touch.
+    /// The item; `None` for a no-op order.
     pub item: Option<Item>,
     /// The memory the item takes.
     pub size: Megabytes,
 }
 
-/// How an order ended, by the engine's report.
+/// The outcome of an order as reported by the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderEnd {
-    /// Carried out.
+    /// The order was carried out.
     Done,
-    /// Not carried out and it will not be.
+    /// The order was not carried out and will not be.
     Failed,
 }
 
-/// An item that an engine reports.
+/// An item that an engine reports to hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
     /// The item.
@@ -59,29 +59,29 @@
     pub size: Megabytes,
 }
 
-/// The part of an engine's report that the ledger needs. It lags.
+/// The part of an engine's report that the ledger uses. It lags.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: u64,
-    /// What its accelerator holds.
+    /// The accelerator's memory.
     pub memory: Megabytes,
     /// Whether it refuses old fencing numbers.
     #[serde(rename = "checks")]
     pub checks_fence: bool,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// What it holds ready.
+    /// The items that are ready.
     pub resident: Vec<Resident>,
-    /// What it is loading now.
+    /// The items that it is loading.
     #[serde(default)]
     pub loading: Vec<Resident>,
-    /// How recent orders ended, by number.
+    /// The outcome of recent orders, by number.
     pub orders: BTreeMap<Offset, OrderEnd>,
 }
 
 impl EngineReport {
-    /// Whether the item is reported ready.
+    /// Returns whether the item is reported ready.
     #[must_use]
     pub fn holds(&self, item: &Item) -> bool {
         self.resident.iter().any(|r| r.item == *item)
@@ -92,7 +92,7 @@
     }
 }
 
-/// What the dispatcher is about to do or waits for, per engine and item.
+/// The engine and item that a record or order concerns.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Subject {
     engine: Upstream,
@@ -105,7 +105,7 @@
     at: Millis,
 }
 
-/// What the owner of a cell does next.
+/// Decides the next records and orders of a cell's owner.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     fence: Option<Offset>,
@@ -116,7 +116,7 @@
 }
 
 impl Dispatcher {
-    /// Starts afresh when the ownership changed: what an earlier owner sent is unknown.
+    /// Resets the state when the ownership changes, as it is unknown what an earlier owner sent.
     pub fn set_fence(&mut self, fence: Option<Offset>) {
         if self.fence != fence {
             *self = Self {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The records to append now: adoptions, settlements, repeats, and the steps of a plan.
+    /// Returns the records to append now: adoptions, settlements, resends and fence confirmations.
     pub fn records(
         &mut self,
         cell: &CellMachine,
@@ -140,22 +140,22 @@
         for (engine, report) in reports {
             match cell.engines().get(engine) {
                 Some(ledger) if ledger.incarnation == report.incarnation => {
-                    bodies.extend(self.follow(fence, engine, ledger, report, now));
+                    bodies.extend(self.reconcile(fence, engine, ledger, report, now));
                 }
                 _ => bodies.push(adoption(fence, engine, report)),
             }
         }
-        bodies.retain(|b| self.claim_subject(b));
+        bodies.retain(|b| self.reserve_subject(b));
         bodies
     }
 
-    /// The records for the steps of a plan.
+    /// Returns the records for the steps of a plan.
     pub fn steps(&mut self, steps: &[Step]) -> Vec<CellBody> {
         let Some(fence) = self.fence else {
             return Vec::new();
         };
         let mut bodies: Vec<CellBody> = steps.iter().map(|s| s.to_body(fence)).collect();
-        bodies.retain(|b| self.claim_subject(b));
+        bodies.retain(|b| self.reserve_subject(b));
         if !Safeguard::IntentFirst.active() {
             for body in &bodies {
                 self.ready.extend(order_of(body, Offset(u64::MAX >> 1)));
@@ -164,8 +164,8 @@
         bodies
     }
 
-    /// Keeps one record per subject on its way.
-    fn claim_subject(&mut self, body: &CellBody) -> bool {
+    /// Allows only one pending record per subject.
+    fn reserve_subject(&mut self, body: &CellBody) -> bool {
         let Some(subject) = subject_of(body) else {
             return false;
         };
@@ -176,7 +176,7 @@
         true
     }
 
-    fn follow(
+    fn reconcile(
         &mut self,
         fence: Offset,
         engine: &Upstream,
@@ -192,7 +192,7 @@
                 on: report.leaving,
             });
         }
-        bodies.extend(self.touch(fence, engine, ledger, report, now));
+        bodies.extend(self.confirm_fence(fence, engine, ledger, report, now));
         for (item, slot) in &ledger.slots {
             let subject = Subject {
                 engine: engine.clone(),
@@ -210,9 +210,10 @@
         bodies
     }
 
-    /// An engine that checks numbers is shown the ledger's own after each adoption. What an
-    /// older order made it load is waited for, so that nothing is left uncounted.
-    fn touch(
+    /// Sends an engine that checks fencing numbers a no-op order with the ledger's own number after
+    /// each adoption, then confirms it. Loads that run because of older orders must end first, as
+    /// the ledger would miss them otherwise.
+    fn confirm_fence(
         &mut self,
         fence: Offset,
         engine: &Upstream,
@@ -238,7 +239,7 @@
             engine: engine.clone(),
             item: None,
         };
-        let recent = |s: &Sent| s.number == ledger.adopted && now.since(s.at) < RESEND_AFTER;
+        let recent = |s: &Sent| s.number == ledger.adopted && now.since(s.at) < RESEND_AFTER_MS;
         if !self.sent.get(&subject).is_some_and(recent) {
             self.note_sent(subject, ledger.adopted, now);
             self.ready.push(Order {
@@ -275,7 +276,7 @@
                 done: *end == OrderEnd::Done,
             });
         }
-        let recent = |s: &Sent| s.number == slot.order && now.since(s.at) < RESEND_AFTER;
+        let recent = |s: &Sent| s.number == slot.order && now.since(s.at) < RESEND_AFTER_MS;
         if self.sent.get(subject).is_some_and(recent) {
             return None;
         }
@@ -301,7 +302,7 @@
             return None;
         }
         let since = *self.missing.entry(subject.clone()).or_insert(now);
-        if now.since(since) < MISSING_AFTER {
+        if now.since(since) < MISSING_AFTER_MS {
             return None;
         }
         Some(CellBody::Missing {
@@ -311,8 +312,7 @@
         })
     }
 
-    /// Takes the verdict on a record that this dispatcher asked to append. A granted
-    /// order may be sent.
+    /// Handles the verdict on a record that this dispatcher requested. A granted order may be sent.
     pub fn on_verdict(
         &mut self,
         body: &CellBody,
@@ -332,7 +332,7 @@
                 .engines()
                 .get(engine)
                 .and_then(|b| b.slots.get(item))
-                .and_then(|s| order_again(engine, item, s)),
+                .and_then(|s| resent_order(engine, item, s)),
             _ => order_of(body, number),
         };
         if let Some(order) = order {
@@ -341,12 +341,12 @@
         }
     }
 
-    /// The orders that may be sent now.
+    /// Takes the orders that may be sent now.
     pub fn take_orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.ready)
     }
 
-    /// How many records are on their way.
+    /// Returns the number of records that are not replayed yet.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.pending.len()
@@ -405,7 +405,7 @@
     })
 }
 
-fn order_again(engine: &Upstream, item: &Item, slot: &Slot) -> Option<Order> {
+fn resent_order(engine: &Upstream, item: &Item, slot: &Slot) -> Option<Order> {
     let kind = match slot.state {
         SlotState::Loading => OrderKind::Load,
         SlotState::Unloading => OrderKind::Unload,
--- a/crates/place/src/draft.rs
+++ b/crates/place/src/draft.rs
@@ -1,11 +1,11 @@
-//! A plan in the making.
+//! The construction of a plan.
 
-use crate::fluid::{spread, Fluid};
+use crate::spread::{spread, DemandSpread};
 use crate::{EngineLedger, Item, PlanInput, Planner, SlotState, Step};
 use shaleline_types::{DataCentre, Megabytes, Millis, Upstream};
 use std::collections::BTreeSet;
 
-/// The plan in the making. Each engine gets one step at the most.
+/// A plan under construction. Each engine gets at most one step.
 pub(crate) struct Draft<'a> {
     plan: PlanInput<'a>,
     now: Millis,
@@ -13,7 +13,7 @@
     open: BTreeSet<&'a Upstream>,
     loads: usize,
     steps: Vec<Step>,
-    fluid: Fluid,
+    spread: DemandSpread,
 }
 
 impl<'a> Draft<'a> {
@@ -25,7 +25,7 @@
         };
         Self {
             open: plan.ledgers.iter().filter_map(usable).collect(),
-            fluid: spread(plan, planner.settings.target, now),
+            spread: spread(plan, planner.settings.target, now),
             plan,
             now,
             planner,
@@ -60,7 +60,7 @@
         });
     }
 
-    /// Engines that hold the item ready or are loading it, alive and not leaving.
+    /// Returns the live engines that hold the item or are loading it, and are not leaving.
     fn holders(&self, item: &Item) -> Vec<&'a Upstream> {
         let plan = self.plan;
         let holds = |(e, b): (&'a Upstream, &'a EngineLedger)| {
@@ -80,8 +80,8 @@
             .count()
     }
 
-    /// Unloads what nobody may use any more, and old versions whose successor is ready.
-    pub(crate) fn retire(&mut self) {
+    /// Unloads items that are no longer desired, and old versions whose successor is ready.
+    pub(crate) fn unload_obsolete(&mut self) {
         let engines: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in engines {
             let ledger = &self.plan.ledgers[engine];
@@ -89,7 +89,7 @@
             let droppable = |i: &&Item| {
                 ledger.holds(i)
                     && !ledger.slots[*i].unfenced_copies
-                    && !(i.is_base() && ledger.carries_adapter(i))
+                    && !(i.is_base() && ledger.has_adapter(i))
             };
             let mut candidates: Vec<&Item> =
                 ledger.slots.keys().filter(old).filter(droppable).collect();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether a ready successor can carry what the old version carried.
+    /// Returns whether a ready successor can carry the load of the old version.
     fn is_replaced(&self, old: &Item) -> bool {
         let successor = |(i, _): &(&Item, Megabytes)| i.serves_as(old) && *i != old;
         let Some((new, _)) = self.plan.desired.iter().find(successor) else {
@@ -113,42 +113,42 @@
         };
         let steps = self.steps.iter();
         let leaving = steps.filter(|s| matches!(s, Step::Unload { item, .. } if item == old));
-        let enough = self.ready(new) >= 1 && self.fluid.excess(&new.model) <= 0.0;
+        let enough = self.ready(new) >= 1 && self.spread.excess(&new.model) <= 0.0;
         enough && leaving.count() == 0
     }
 
-    /// Loads what no live engine holds: first of all, and whatever it costs. Among these what
-    /// callers wait for comes first, then the largest, which is hardest to find room for.
-    pub(crate) fn reach(&mut self) {
+    /// Loads what no live engine holds, before anything else and at any cost. Models with waiting
+    /// callers come first, then the largest, for which it is hardest to find memory.
+    pub(crate) fn place_missing(&mut self) {
         let wanted = self.plan.desired;
-        let mut lost: Vec<(&Item, Megabytes)> = wanted
+        let mut missing_items: Vec<(&Item, Megabytes)> = wanted
             .bases()
             .filter(|(i, _)| self.holders(i).is_empty())
             .map(|(i, _)| (i, wanted.whole_size(i)))
             .collect();
-        let waited = |i: &Item| self.fluid.excess(&i.model);
-        lost.sort_by(|a, b| {
-            let by_demand = waited(b.0).total_cmp(&waited(a.0));
+        let unmet = |i: &Item| self.spread.excess(&i.model);
+        missing_items.sort_by(|a, b| {
+            let by_demand = unmet(b.0).total_cmp(&unmet(a.0));
             by_demand.then(b.1.cmp(&a.1)).then_with(|| a.0.cmp(b.0))
         });
-        for (base, whole) in lost {
+        for (base, whole) in missing_items {
             let own = wanted.size(base).unwrap_or_default();
-            if let Some(engine) = self.roomiest(base, whole) {
+            if let Some(engine) = self.most_free_engine(base, whole) {
                 self.load(engine, base, own);
             } else if !self.make_room(base, whole) {
                 self.relocate_for(whole);
             }
         }
-        self.reach_adapters();
+        self.place_missing_adapters();
     }
 
-    fn reach_adapters(&mut self) {
+    fn place_missing_adapters(&mut self) {
         let wanted = self.plan.desired;
         let adapters = wanted.iter().filter(|(i, _)| !i.is_base());
-        let lost: Vec<(&Item, Megabytes)> = adapters
+        let missing_items: Vec<(&Item, Megabytes)> = adapters
             .filter(|(i, _)| self.holders(i).is_empty())
             .collect();
-        for (item, size) in lost {
+        for (item, size) in missing_items {
             let base = item.to_base();
             let fits = |e: &&&Upstream| {
                 let ledger = &self.plan.ledgers[**e];
@@ -157,12 +157,12 @@
             let found = self.open.iter().find(fits).copied();
             match found {
                 Some(engine) => self.load(engine, item, size),
-                None => self.room_for_adapter(item, size),
+                None => self.make_adapter_room(item, size),
             }
         }
     }
 
-    fn room_for_adapter(&mut self, item: &Item, size: Megabytes) {
+    fn make_adapter_room(&mut self, item: &Item, size: Megabytes) {
         let base = item.to_base();
         let hosts: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in hosts {
@@ -183,26 +183,27 @@
         {
             let whole = self.plan.desired.whole_size(&base);
             let own = self.plan.desired.size(&base).unwrap_or_default();
-            if let Some(engine) = self.roomiest(&base, whole) {
+            if let Some(engine) = self.most_free_engine(&base, whole) {
                 self.load(engine, &base, own);
             }
         }
     }
 
-    /// The open engine with most free memory that fits `need` and lacks the item.
-    fn roomiest(&self, item: &Item, need: Megabytes) -> Option<&'a Upstream> {
+    /// Returns an open engine that lacks the item and has `need` free: the one with the fewest
+    /// replicas in its data centre, then the most free memory.
+    fn most_free_engine(&self, item: &Item, need: Megabytes) -> Option<&'a Upstream> {
         let fits = |e: &&&Upstream| {
             let ledger = &self.plan.ledgers[**e];
-            let ghost = matches!(ledger.state_of(item), None | Some(SlotState::Unconfirmed));
-            ghost && !ledger.barred.contains(item) && ledger.free() >= need
+            let unconfirmed = matches!(ledger.state_of(item), None | Some(SlotState::Unconfirmed));
+            unconfirmed && !ledger.barred.contains(item) && ledger.free() >= need
         };
-        let used_here = |e: &Upstream| self.fluid.load(e);
+        let load_of = |e: &Upstream| self.spread.load(e);
         let open = self.open.iter().filter(fits);
         open.copied().min_by(|a, b| {
-            let crowded = |e: &Upstream| self.centre_count(item, e);
-            let by_load = used_here(a).total_cmp(&used_here(b));
-            crowded(a)
-                .cmp(&crowded(b))
+            let replicas_nearby = |e: &Upstream| self.centre_count(item, e);
+            let by_load = load_of(a).total_cmp(&load_of(b));
+            replicas_nearby(a)
+                .cmp(&replicas_nearby(b))
                 .then(
                     self.plan.ledgers[*b]
                         .free()
@@ -212,7 +213,7 @@
         })
     }
 
-    /// How many holders of the item stand in the engine's data centre.
+    /// Returns how many holders of the item are in the engine's data centre.
     fn centre_count(&self, item: &Item, engine: &Upstream) -> usize {
         let centre = self.plan.views.get(engine).map(|v| &v.centre);
         let holders = self.holders(item);
@@ -222,7 +223,8 @@
         same.count()
     }
 
-    /// Unloads something with another replica from the engine where that helps soonest.
+    /// Unloads an item that has another replica, from the engine with the most free memory that can
+    /// make room.
     fn make_room(&mut self, item: &Item, need: Megabytes) -> bool {
         let engines = self.open.iter().copied();
         let able = engines.filter(|e| {
@@ -240,7 +242,7 @@
         true
     }
 
-    /// Whether unloading spare replicas would free enough on the engine.
+    /// Returns whether unloading redundant replicas would free enough memory on the engine.
     fn could_free(&self, engine: &Upstream, keep: &Item, need: Megabytes) -> bool {
         let ledger = &self.plan.ledgers[engine];
         let spare = ledger
@@ -251,7 +253,8 @@
         ledger.free().0 + spare >= need.0
     }
 
-    /// Whether the item on this engine has another ready replica, so that it may go.
+    /// Returns whether the item on this engine has another ready replica, so that it may be
+    /// unloaded.
     fn is_spare(&self, engine: &Upstream, item: &Item, keep: &Item) -> bool {
         let ledger = &self.plan.ledgers[engine];
         let movable = ledger.holds(item) && !ledger.slots[item].unfenced_copies;
@@ -263,12 +266,12 @@
         self.ready(item) > planned + 1
     }
 
-    /// The spare item to unload first: adapters before the weights they stand on, then
-    /// whatever carries the least demand per megabyte.
+    /// Returns the redundant item to unload first: adapters before their base weights, then the
+    /// item with the least demand per megabyte.
     fn victim(&self, engine: &Upstream, keep: &Item) -> Option<Item> {
         let ledger = &self.plan.ledgers[engine];
         let spare = |i: &&Item| self.is_spare(engine, i, keep);
-        let free_standing = |i: &&Item| !(i.is_base() && ledger.carries_adapter(i));
+        let free_standing = |i: &&Item| !(i.is_base() && ledger.has_adapter(i));
         let whole_spare = |i: &&Item| {
             let base = i.to_base();
             let own = ledger.slots.keys().filter(|o| o.to_base() == base);
@@ -276,24 +279,26 @@
         };
         let candidates = ledger.slots.keys().filter(spare).filter(whole_spare);
         let value =
-            |i: &Item| self.fluid.share(engine, &i.model) / ledger.slots[i].size.0.max(1) as f64;
+            |i: &Item| self.spread.share(engine, &i.model) / ledger.slots[i].size.0.max(1) as f64;
         candidates
             .filter(free_standing)
             .min_by(|a, b| value(a).total_cmp(&value(b)))
             .cloned()
     }
 
-    /// Nothing spare makes room: gives some item a second replica elsewhere, so that its
-    /// first may go in a later step.
+    /// Loads a second replica of some item elsewhere where unloading redundant replicas doesn't
+    /// free enough, so that a later step may unload the first.
     fn relocate_for(&mut self, need: Megabytes) {
         let plan = self.plan;
         for (engine, ledger) in plan.ledgers {
             for (item, slot) in &ledger.slots {
-                let single = item.is_base() && !ledger.carries_adapter(item) && ledger.holds(item);
+                let single = item.is_base() && !ledger.has_adapter(item) && ledger.holds(item);
                 if !single || ledger.free().0 + slot.size.0 < need.0 {
                     continue;
                 }
-                let target = self.roomiest(item, slot.size).filter(|e| *e != engine);
+                let target = self
+                    .most_free_engine(item, slot.size)
+                    .filter(|e| *e != engine);
                 if let Some(target) = target {
                     self.load(target, item, slot.size);
                     return;
@@ -302,67 +307,67 @@
         }
     }
 
-    /// Gives models whose engines are over the target another replica, where the gain
-    /// over the horizon is worth the move.
-    pub(crate) fn relieve(&mut self) {
+    /// Adds a replica of models whose engines are above the target, where the gain over the horizon
+    /// exceeds the cost of the move.
+    pub(crate) fn add_replicas(&mut self) {
         let wanted = self.plan.desired;
-        let excess = |i: &Item| self.fluid.excess(&i.model);
-        let mut needy: Vec<(&Item, f64)> = wanted
+        let excess = |i: &Item| self.spread.excess(&i.model);
+        let mut overloaded: Vec<(&Item, f64)> = wanted
             .bases()
             .map(|(i, _)| (i, excess(i)))
             .filter(|(_, x)| *x > 0.0)
             .collect();
-        needy.sort_by(|a, b| b.1.total_cmp(&a.1));
-        for (base, excess) in needy {
-            let coming = self.coming(base);
-            let mut left = excess - coming;
+        overloaded.sort_by(|a, b| b.1.total_cmp(&a.1));
+        for (base, excess) in overloaded {
+            let loading_capacity = self.loading_capacity(base);
+            let mut left = excess - loading_capacity;
             while left > 0.0 {
-                let Some(relief) = self.relieve_one(base, left) else {
+                let Some(added_work) = self.add_replica(base, left) else {
                     break;
                 };
-                left -= relief;
+                left -= added_work;
             }
         }
     }
 
-    /// What the replicas that are loading will take on.
-    fn coming(&self, item: &Item) -> f64 {
+    /// Returns the work per second that replicas which are still loading can take on.
+    fn loading_capacity(&self, item: &Item) -> f64 {
         let loading = |(e, b): (&Upstream, &EngineLedger)| {
             let here = b.state_of(item) == Some(SlotState::Loading);
-            here.then(|| self.fluid.spare(e))
+            here.then(|| self.spread.spare(e))
         };
         self.plan.ledgers.iter().filter_map(loading).sum()
     }
 
-    /// Takes the step that helps a model most, if one is worth it. Returns the work a
-    /// second that it relieves.
-    fn relieve_one(&mut self, base: &Item, excess: f64) -> Option<f64> {
+    /// Takes the step with the highest score for a model, if any is worth its cost. Returns the
+    /// work per second that it can take on.
+    fn add_replica(&mut self, base: &Item, excess: f64) -> Option<f64> {
         let size = self.plan.desired.size(base).unwrap_or_default();
         let whole = self.plan.desired.whole_size(base);
         let engines = self.open.iter().copied();
         let scored = engines.filter_map(|e| Some((self.score(e, base, excess)?, e)));
         let (_, engine) = scored.max_by(|a, b| a.0.total_cmp(&b.0))?;
-        let relief = self.fluid.spare(engine);
+        let added_work = self.spread.spare(engine);
         if self.plan.ledgers[engine].free() >= whole {
             self.load(engine, base, size);
         } else {
             let victim = self.victim(engine, base)?;
             self.open.remove(engine);
-            if !self.planner.rested(engine, &victim, self.now) {
+            if !self.planner.cooled_down(engine, &victim, self.now) {
                 return Some(0.0);
             }
             self.unload(engine, &victim, false);
         }
-        Some(relief)
+        Some(added_work)
     }
 
-    /// The gain over the horizon less the cost of the moves, where that is positive.
+    /// Returns the gain over the horizon minus the cost of the moves, if positive.
     fn score(&self, engine: &Upstream, base: &Item, excess: f64) -> Option<f64> {
         let settings = self.planner.settings;
         let ledger = &self.plan.ledgers[engine];
         let whole = self.plan.desired.whole_size(base);
         let absent = ledger.state_of(base).is_none() && !ledger.barred.contains(base);
-        if !absent || !self.planner.rested(engine, base, self.now) {
+        if !absent || !self.planner.cooled_down(engine, base, self.now) {
             return None;
         }
         let fits = ledger.free() >= whole;
@@ -371,13 +376,13 @@
         }
         let moves = if fits { 1.0 } else { 2.0 };
         let capacity = self.plan.views.get(engine).map_or(0.0, |v| v.capacity);
-        let gain = excess.min(self.fluid.spare(engine)) * settings.horizon;
+        let gain = excess.min(self.spread.spare(engine)) * settings.horizon;
         let score = gain - settings.move_weight * moves * capacity;
         (score > 0.0).then_some(score)
     }
 
-    /// Gives each model a replica in a second data centre where memory is free anyway.
-    pub(crate) fn spread_out(&mut self) {
+    /// Adds a replica in a second data centre where memory is free.
+    pub(crate) fn spread_over_centres(&mut self) {
         let wanted = self.plan.desired;
         for (base, size) in wanted.bases() {
             let holders = self.holders(base);
@@ -390,7 +395,7 @@
                 continue;
             }
             let whole = wanted.whole_size(base);
-            let elsewhere = self.roomiest(base, whole).filter(|e| {
+            let elsewhere = self.most_free_engine(base, whole).filter(|e| {
                 let centre = self.plan.views.get(*e).map(|v| &v.centre);
                 centre.is_some_and(|c| !centres.contains(c))
             });
@@ -400,8 +405,8 @@
         }
     }
 
-    /// Loads the adapters that belong to the weights an engine holds.
-    pub(crate) fn adapt(&mut self) {
+    /// Loads missing adapters of the weights that an engine holds.
+    pub(crate) fn load_adapters(&mut self) {
         let wanted = self.plan.desired;
         let engines: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in engines {
--- a/crates/place/src/item.rs
+++ b/crates/place/src/item.rs
@@ -1,10 +1,10 @@
-//! What an engine can hold.
+//! The items that an engine can hold.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Adapter, Model};
 use std::fmt;
 
-/// A version of a model's weights, or an adapter on top of one.
+/// A version of a model's weights, or an adapter for one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Item {
@@ -12,12 +12,12 @@
     pub model: Model,
     /// The version of its weights.
     pub version: u32,
-    /// The adapter, where the item is one.
+    /// The adapter, if the item is one.
     pub adapter: Option<Adapter>,
 }
 
 impl Item {
-    /// The weights of a model.
+    /// Returns the item for a model's weights.
     #[must_use]
     pub fn base(model: &Model, version: u32) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// An adapter on top of this item's weights.
+    /// Returns the item for an adapter of these weights.
     #[must_use]
     pub fn with_adapter(&self, adapter: &Adapter) -> Self {
         Self {
@@ -36,19 +36,19 @@
         }
     }
 
-    /// The weights that this item needs beside it.
+    /// Returns the weights that this item depends on.
     #[must_use]
     pub fn to_base(&self) -> Self {
         Self::base(&self.model, self.version)
     }
 
-    /// Whether the item is a model's weights.
+    /// Returns whether the item is a model's weights.
     #[must_use]
     pub fn is_base(&self) -> bool {
         self.adapter.is_none()
     }
 
-    /// Whether both serve the same callers, whatever the version.
+    /// Returns whether both serve the same callers, regardless of the version.
     #[must_use]
     pub fn serves_as(&self, other: &Self) -> bool {
         self.model == other.model && self.adapter == other.adapter
--- a/crates/place/src/machine.rs
+++ b/crates/place/src/machine.rs
@@ -1,4 +1,4 @@
-//! The replayed ledger of a cell.
+//! The replicated ledger of a cell.
 
 use crate::{EngineLedger, Item, Slot, SlotState};
 use serde::{Deserialize, Serialize};
@@ -7,28 +7,28 @@
 use shaleline_types::{Megabytes, Offset, Safeguard, Upstream, WriterId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a record says about a cell. All but the lease's bear the owner's fencing number.
+/// A record about a cell. All but lease records carry the owner's fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CellBody {
-    /// About the ownership of the cell.
+    /// A record about the ownership of the cell.
     Lease(LeaseBody),
-    /// An engine, or a new life of one, was met with this content.
+    /// An engine or a new incarnation of it was found with this content.
     Adopt {
         /// The owner's fencing number.
         fence: Offset,
         /// The engine.
         engine: Upstream,
-        /// Its life.
+        /// Its incarnation.
         incarnation: u64,
-        /// What its accelerator holds.
+        /// The accelerator's memory.
         memory: Megabytes,
         /// Whether it refuses old fencing numbers.
         #[serde(rename = "checks")]
         checks_fence: bool,
-        /// What it reports to hold, with sizes.
+        /// The items that it reports ready, with sizes.
         resident: BTreeMap<Item, Megabytes>,
-        /// What it reports to be loading, with sizes.
+        /// The items that it reports loading, with sizes.
         loading: BTreeMap<Item, Megabytes>,
     },
     /// An order to load is about to be sent.
@@ -50,51 +50,51 @@
         engine: Upstream,
         /// What to unload.
         item: Item,
-        /// Whether nobody may use the item any more, so that the last one may go.
+        /// Whether the item is no longer desired, so that its last replica may be unloaded.
         retired: bool,
     },
-    /// An order without an answer is about to be sent again.
+    /// An order without a response is about to be sent again.
     Resend {
         /// The owner's fencing number.
         fence: Offset,
         /// The engine.
         engine: Upstream,
-        /// What the order is about.
+        /// The item that the order concerns.
         item: Item,
     },
-    /// The engine reported how an order ended.
+    /// The engine reported the outcome of an order.
     Settled {
         /// The owner's fencing number.
         fence: Offset,
         /// The engine.
         engine: Upstream,
-        /// What the order was about.
+        /// The item that the order concerned.
         item: Item,
         /// The order's number.
         order: Offset,
         /// Whether it was carried out.
         done: bool,
     },
-    /// An engine that checks numbers has seen the ledger's own, so older orders are dead
-    /// and this is what it holds.
+    /// An engine that checks fencing numbers has seen the ledger's own, so older orders have no
+    /// effect and the engine holds exactly this.
     #[serde(rename = "touched")]
     FenceConfirmed {
         /// The owner's fencing number.
         fence: Offset,
         /// The engine.
         engine: Upstream,
-        /// Its life.
+        /// Its incarnation.
         incarnation: u64,
-        /// What it reports to hold, with sizes.
+        /// The items that it reports ready, with sizes.
         resident: BTreeMap<Item, Megabytes>,
     },
-    /// The engine no longer holds an item that the ledger has as ready.
+    /// The engine no longer holds an item that is ready in the ledger.
     Missing {
         /// The owner's fencing number.
         fence: Offset,
         /// The engine.
         engine: Upstream,
-        /// What is missing.
+        /// The missing item.
         item: Item,
     },
     /// The engine is leaving, or no longer is.
@@ -106,7 +106,7 @@
         /// Whether it is leaving.
         on: bool,
     },
-    /// The engine is gone for good.
+    /// The engine was removed permanently.
     Gone {
         /// The owner's fencing number.
         fence: Offset,
@@ -118,23 +118,23 @@
 /// The verdict on a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CellVerdict {
-    /// About the ownership.
+    /// The verdict on a lease record.
     Lease(LeaseVerdict),
     /// The order may be sent under this number.
     Granted(Offset),
-    /// Noted.
+    /// The record was applied.
     Noted,
-    /// The writer is not the owner under that number.
+    /// The writer is not the owner under that fencing number.
     NotOwner,
-    /// It would promise more memory than there is.
+    /// The record would promise more memory than there is.
     NoMemory,
-    /// It would take the last replica.
+    /// The record would remove the last replica.
     LastReplica,
-    /// Without effect for another reason.
+    /// The record has no effect for another reason.
     Void,
 }
 
-/// Who owns a cell and what its engines hold in the worst case.
+/// The owner of a cell and the memory that its engines use in the worst case.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellMachine {
     lease: Lease,
@@ -142,19 +142,19 @@
 }
 
 impl CellMachine {
-    /// The ownership.
+    /// Returns the ownership lease.
     #[must_use]
     pub fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// The ledger of each engine.
+    /// Returns the ledger of each engine.
     #[must_use]
     pub fn engines(&self) -> &BTreeMap<Upstream, EngineLedger> {
         &self.engines
     }
 
-    /// How many engines hold the item ready, or another version of it.
+    /// Returns the number of engines that hold any version of the item ready.
     #[must_use]
     pub fn replicas(&self, item: &Item) -> usize {
         let serves = |b: &&EngineLedger| {
@@ -165,7 +165,7 @@
         self.engines.values().filter(serves).count()
     }
 
-    /// How many loads are open, which is what the weight store counts.
+    /// Returns the number of open loads, which the weight store's limit applies to.
     #[must_use]
     pub fn loading(&self) -> usize {
         let slots = self.engines.values().flat_map(|b| b.slots.values());
@@ -188,20 +188,24 @@
         let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        let unseen = ledger.checks_fence && !ledger.fence_confirmed;
-        if ledger.leaving || unseen || ledger.is_busy() || ledger.barred.contains(item) {
+        let fence_unconfirmed = ledger.checks_fence && !ledger.fence_confirmed;
+        if ledger.leaving || fence_unconfirmed || ledger.is_busy() || ledger.barred.contains(item) {
             return CellVerdict::Void;
         }
         let needs_base = !item.is_base();
         if needs_base && !ledger.holds(&item.to_base()) {
             return CellVerdict::Void;
         }
-        let ghost = match ledger.state_of(item) {
+        let unconfirmed = match ledger.state_of(item) {
             None => false,
             Some(SlotState::Unconfirmed) => true,
             Some(_) => return CellVerdict::Void,
         };
-        let counted = if ghost { ledger.slots[item].size.0 } else { 0 };
+        let counted = if unconfirmed {
+            ledger.slots[item].size.0
+        } else {
+            0
+        };
         if ledger
             .used()
             .0
@@ -215,7 +219,7 @@
             size,
             state: SlotState::Loading,
             order: at,
-            unfenced_copies: ghost,
+            unfenced_copies: unconfirmed,
         };
         ledger.slots.insert(item.clone(), slot);
         let used: u64 = ledger.slots.values().map(|s| s.size.0).sum();
@@ -234,7 +238,7 @@
         let Some(ledger) = self.engines.get_mut(engine) else {
             return CellVerdict::Void;
         };
-        if ledger.is_busy() || (item.is_base() && ledger.carries_adapter(item)) {
+        if ledger.is_busy() || (item.is_base() && ledger.has_adapter(item)) {
             return CellVerdict::Void;
         }
         match ledger.slots.get_mut(item) {
@@ -304,8 +308,9 @@
         CellVerdict::Noted
     }
 
-    /// Old orders are dead, so ghosts that the engine does not report are gone.
-    fn touched(
+    /// Removes unconfirmed items that the engine doesn't report, as old orders no longer have an
+    /// effect.
+    fn confirm_fence(
         &mut self,
         at: Offset,
         engine: &Upstream,
@@ -348,10 +353,13 @@
             } => {
                 let ready =
                     |(i, m): (&Item, &Megabytes)| (i.clone(), adopted(at, *m, SlotState::Resident));
-                let coming = |(i, m): (&Item, &Megabytes)| {
+                let pending = |(i, m): (&Item, &Megabytes)| {
                     (i.clone(), adopted(at, *m, SlotState::Unconfirmed))
                 };
-                let slots = loading.iter().map(coming).chain(resident.iter().map(ready));
+                let slots = loading
+                    .iter()
+                    .map(pending)
+                    .chain(resident.iter().map(ready));
                 let ledger = EngineLedger {
                     incarnation: *incarnation,
                     memory: *memory,
@@ -386,7 +394,7 @@
                 incarnation,
                 resident,
                 ..
-            } => self.touched(at, engine, *incarnation, resident),
+            } => self.confirm_fence(at, engine, *incarnation, resident),
             CellBody::Missing { engine, item, .. } => self.missing(engine, item),
             CellBody::Leaving { engine, on, .. } => match self.engines.get_mut(engine) {
                 Some(ledger) => {
@@ -412,8 +420,8 @@
     }
 }
 
-/// A new life of an engine may still be reached by old orders, so what they could load
-/// stays counted until an engine that checks numbers has seen a newer one.
+/// Old orders may still arrive at a new incarnation of an engine. What they could load stays
+/// counted until an engine that checks fencing numbers has seen a newer one.
 fn keep_unconfirmed(old: &EngineLedger, fresh: &mut EngineLedger) {
     for (item, slot) in &old.slots {
         let open = matches!(slot.state, SlotState::Loading | SlotState::Unconfirmed)
@@ -421,12 +429,12 @@
         if !open {
             continue;
         }
-        let ghost = Slot {
+        let unconfirmed = Slot {
             state: SlotState::Unconfirmed,
             unfenced_copies: true,
             ..slot.clone()
         };
-        let kept = fresh.slots.entry(item.clone()).or_insert(ghost);
+        let kept = fresh.slots.entry(item.clone()).or_insert(unconfirmed);
         kept.unfenced_copies = true;
     }
     fresh.barred.clone_from(&old.barred);
@@ -438,7 +446,7 @@
 }
 
 impl CellBody {
-    /// The fencing number that the writer claims to own the cell under.
+    /// Returns the fencing number under which the writer claims to own the cell.
     fn fence(&self) -> Option<Offset> {
         match self {
             Self::Lease(_) => None,
@@ -470,7 +478,7 @@
         self.apply_owned(at.offset, body)
     }
 
-    /// What a record brought about shows in the ledger; only a claim has to be told.
+    /// Only a claim needs its verdict again; the effect of other records shows in the ledger.
     fn recall(&self, writer: WriterId, body: &CellBody) -> CellVerdict {
         match (body, self.lease.fence_of(writer)) {
             (CellBody::Lease(LeaseBody::Claim { .. }), Some(fence)) => {
--- a/crates/place/src/plan.rs
+++ b/crates/place/src/plan.rs
@@ -1,11 +1,11 @@
-//! The placement policy: which move is worth its cost.
+//! The placement policy, which weighs the gain of a move against its cost.
 
 use crate::draft::Draft;
 use crate::{CellBody, Demand, DesiredItems, EngineLedger, Item};
 use shaleline_types::{DataCentre, Megabytes, Millis, Offset, Upstream};
 use std::collections::BTreeMap;
 
-/// One load or unload that a policy proposes.
+/// A load or unload that a policy proposes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Load an item.
@@ -23,13 +23,13 @@
         engine: Upstream,
         /// What to unload.
         item: Item,
-        /// Whether nobody may use it any more.
+        /// Whether the item is no longer desired.
         retired: bool,
     },
 }
 
 impl Step {
-    /// The engine that the step is about.
+    /// Returns the engine that the step concerns.
     #[must_use]
     pub fn engine(&self) -> &Upstream {
         match self {
@@ -59,49 +59,49 @@
     }
 }
 
-/// What a policy knows of an engine beside its ledger.
+/// What a policy knows of an engine apart from its ledger.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineView {
-    /// Where it stands.
+    /// The engine's data centre.
     pub centre: DataCentre,
-    /// The work a second it can do, in the unit of [`Demand`].
+    /// The work per second that it can do, in the unit of [`Demand`].
     pub capacity: f64,
-    /// Whether it answers.
+    /// Whether it responds.
     pub alive: bool,
 }
 
-/// What a policy looks at.
+/// The input of a policy.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanInput<'a> {
     /// The ledger of each engine.
     pub ledgers: &'a BTreeMap<Upstream, EngineLedger>,
-    /// What else is known of each engine.
+    /// Further state of each engine.
     pub views: &'a BTreeMap<Upstream, EngineView>,
-    /// What must stay reachable.
+    /// The items that must stay reachable.
     pub desired: &'a DesiredItems,
-    /// What is asked for.
+    /// The demand for each model.
     pub demand: &'a Demand,
-    /// How many loads the weight store allows now.
+    /// The number of loads that the weight store allows now.
     pub load_limit: usize,
 }
 
 /// A placement policy.
 pub trait Policy: Send {
-    /// The steps to take now, at most one for each engine.
+    /// Returns the steps to take now, at most one per engine.
     fn plan(&mut self, plan: PlanInput<'_>, now: Millis) -> Vec<Step>;
 }
 
-/// What an operator weighs.
+/// The planner's settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlanSettings {
-    /// What a move costs, in seconds of one engine's work per load. Mrazník sets it
-    /// high, the Agencia low.
+    /// The cost of a move, in seconds of one engine's work per load. A higher value suits
+    /// deployments where moves are expensive.
     pub move_weight: f64,
-    /// How far ahead a gain counts, in seconds.
+    /// The time over which a gain counts, in seconds.
     pub horizon: f64,
-    /// The share of an engine's capacity that may be used before help is sought.
+    /// The fraction of an engine's capacity above which replicas are added.
     pub target: f64,
-    /// The least time between two moves of one item on one engine.
+    /// The shortest time between two moves of one item on one engine.
     pub cooldown: Millis,
 }
 
@@ -124,7 +124,7 @@
 }
 
 impl Planner {
-    /// A planner with these weights.
+    /// Creates a planner with these settings.
     #[must_use]
     pub fn new(settings: PlanSettings) -> Self {
         Self {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Whether the item was not moved on the engine for a while.
-    pub(crate) fn rested(&self, engine: &Upstream, item: &Item, now: Millis) -> bool {
+    /// Returns whether the item's cooldown on the engine has passed.
+    pub(crate) fn cooled_down(&self, engine: &Upstream, item: &Item, now: Millis) -> bool {
         let last = self.moved.get(&(engine.clone(), item.clone()));
         last.is_none_or(|at| now.since(*at) >= self.settings.cooldown.0)
     }
@@ -143,11 +143,11 @@
 impl Policy for Planner {
     fn plan(&mut self, plan: PlanInput<'_>, now: Millis) -> Vec<Step> {
         let mut draft = Draft::new(plan, now, self);
-        draft.retire();
-        draft.reach();
-        draft.relieve();
-        draft.spread_out();
-        draft.adapt();
+        draft.unload_obsolete();
+        draft.place_missing();
+        draft.add_replicas();
+        draft.spread_over_centres();
+        draft.load_adapters();
         let steps = draft.into_steps();
         let note = |s: &Step| match s {
             Step::Load { engine, item, .. } | Step::Unload { engine, item, .. } => {
--- a/crates/place/tests/ledger.rs
+++ b/crates/place/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger and the orders.
+//! The ledger, the orders and the placement policy.
 
 use shaleline_lease::LeaseBody;
 use shaleline_log::{Machine, Position};
@@ -32,11 +32,16 @@
         .collect()
 }
 
-fn adopt(number: u64, life: u64, checks_fence: bool, resident: &[(&str, u64)]) -> CellBody {
+fn adopt(
+    number: u64,
+    incarnation_number: u64,
+    checks_fence: bool,
+    resident: &[(&str, u64)],
+) -> CellBody {
     CellBody::Adopt {
         fence: Offset(0),
         engine: engine(number),
-        incarnation: life,
+        incarnation: incarnation_number,
         memory: Megabytes(100),
         checks_fence,
         resident: sizes(resident),
@@ -153,14 +158,14 @@
     assert_eq!(
         cell.put(&unload(1, "a")),
         CellVerdict::LastReplica,
-        "ordered is not ready"
+        "a load that was ordered is not ready yet"
     );
     cell.put(&settled(2, "a", order, true));
     assert!(matches!(cell.put(&unload(1, "a")), CellVerdict::Granted(_)));
 }
 
 #[test]
-fn a_load_sent_twice_to_an_engine_that_ignores_numbers_is_pinned() {
+fn a_load_sent_twice_to_an_engine_that_ignores_fencing_is_pinned() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
     cell.put(&adopt(2, 1, false, &[("a", 40)]));
@@ -174,12 +179,12 @@
     assert_eq!(
         cell.put(&unload(1, "a")),
         CellVerdict::Void,
-        "a late copy would bring it back"
+        "a late copy of the load would restore it"
     );
 }
 
 #[test]
-fn a_new_life_still_counts_what_old_orders_may_load() {
+fn a_new_incarnation_still_counts_what_old_orders_may_load() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
     cell.put(&load(1, "a", 70));
@@ -188,14 +193,14 @@
     assert_eq!(cell.put(&load(1, "b", 40)), CellVerdict::NoMemory);
     assert!(
         matches!(cell.put(&load(1, "a", 70)), CellVerdict::Granted(_)),
-        "it may be used"
+        "the unconfirmed item may be loaded"
     );
 }
 
-/// Found by `faults`, seed 76: a load was granted in a new life before the engine had
-/// seen a newer number, and an old copy filled the same memory.
+/// A load was granted in a new incarnation before the engine had seen a newer fencing number, and
+/// an old copy of an order filled the same memory.
 #[test]
-fn regression_an_engine_that_checks_numbers_gets_no_load_before_its_touch() {
+fn regression_an_engine_that_checks_fencing_gets_no_load_before_its_no_op() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, true, &[]));
     assert_eq!(cell.put(&load(1, "a", 40)), CellVerdict::Void);
@@ -232,8 +237,8 @@
     }
 }
 
-/// Drives the dispatcher once and applies what it appends.
-fn follow(cell: &mut Cell, d: &mut Dispatcher, r: &EngineReport, now: u64) -> Vec<CellBody> {
+/// Runs the dispatcher once and applies the records that it appends.
+fn reconcile(cell: &mut Cell, d: &mut Dispatcher, r: &EngineReport, now: u64) -> Vec<CellBody> {
     d.set_fence(Some(Offset(0)));
     let reports = BTreeMap::from([(engine(1), r.clone())]);
     let bodies = d.records(&cell.machine, &reports, Millis(now));
@@ -244,59 +249,66 @@
     bodies
 }
 
-/// Found by `faults`, seed 76: a touch was confirmed while an older load still ran, which
-/// then was in no ledger.
+/// A no-op order was confirmed while an older load still ran, which was then missing from the
+/// ledger.
 #[test]
-fn regression_a_touch_waits_for_loads_that_still_run() {
+fn regression_a_no_op_confirmation_waits_for_running_loads() {
     let mut cell = Cell::new();
     let mut d = Dispatcher::default();
     let busy = report(true, &[], &[("a", 40)]);
-    follow(&mut cell, &mut d, &busy, 0);
-    follow(&mut cell, &mut d, &busy, 1);
+    reconcile(&mut cell, &mut d, &busy, 0);
+    reconcile(&mut cell, &mut d, &busy, 1);
     let touch = d.take_orders().remove(0);
     assert_eq!(touch.kind, OrderKind::NoOp);
     let mut seen = busy;
     seen.orders.insert(touch.number, OrderEnd::Done);
-    assert!(follow(&mut cell, &mut d, &seen, 2).is_empty());
+    assert!(reconcile(&mut cell, &mut d, &seen, 2).is_empty());
     seen.resident = std::mem::take(&mut seen.loading);
     assert!(matches!(
-        follow(&mut cell, &mut d, &seen, 3)[0],
+        reconcile(&mut cell, &mut d, &seen, 3)[0],
         CellBody::FenceConfirmed { .. }
     ));
     assert_eq!(cell.state(1, "a"), Some(SlotState::Resident));
 }
 
 #[test]
-fn an_order_leaves_only_after_its_intent_and_is_repeated_after_a_while() {
+fn an_order_is_sent_only_after_its_intent_and_resent_after_a_timeout() {
     let mut cell = Cell::new();
     let mut d = Dispatcher::default();
     let r = report(false, &[], &[]);
-    follow(&mut cell, &mut d, &r, 0);
+    reconcile(&mut cell, &mut d, &r, 0);
     let step = Step::Load {
         engine: engine(1),
         item: item("a", 1),
         size: Megabytes(40),
     };
     let body = d.steps(&[step]).remove(0);
-    assert!(d.take_orders().is_empty(), "not before the replay");
+    assert!(
+        d.take_orders().is_empty(),
+        "no order is sent before its intent is replayed"
+    );
     let verdict = cell.put(&body);
     d.on_verdict(&body, verdict, &cell.machine, Millis(1));
     let order = d.take_orders().remove(0);
     assert_eq!(CellVerdict::Granted(order.number), verdict);
-    follow(&mut cell, &mut d, &r, 2);
+    reconcile(&mut cell, &mut d, &r, 2);
     assert!(d.take_orders().is_empty());
-    follow(&mut cell, &mut d, &r, 5_000);
-    assert_eq!(d.take_orders(), [order], "the same number again");
+    reconcile(&mut cell, &mut d, &r, 5_000);
+    assert_eq!(
+        d.take_orders(),
+        [order],
+        "the order is resent under the same number"
+    );
 }
 
 #[test]
-fn a_successor_finds_an_open_order_and_repeats_it_under_its_number() {
+fn a_successor_resends_an_open_order_under_its_number() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
     let number = cell.next;
     cell.put(&load(1, "a", 40));
     let mut successor = Dispatcher::default();
-    follow(&mut cell, &mut successor, &report(false, &[], &[]), 0);
+    reconcile(&mut cell, &mut successor, &report(false, &[], &[]), 0);
     assert_eq!(successor.take_orders()[0].number, Offset(number));
 }
 
@@ -310,11 +322,11 @@
 }
 
 fn desired(items: &[(Item, u64)]) -> DesiredItems {
-    let want = |(item, size): &(Item, u64)| DesiredItem {
+    let desired_items = |(item, size): &(Item, u64)| DesiredItem {
         item: item.clone(),
         size: Megabytes(*size),
     };
-    DesiredItems::from_items(items.iter().map(want))
+    DesiredItems::from_items(items.iter().map(desired_items))
 }
 
 fn plan(cell: &Cell, desired: &DesiredItems, demand: &Demand) -> Vec<Step> {
@@ -330,32 +342,32 @@
 }
 
 #[test]
-fn what_nobody_holds_is_loaded_first() {
+fn an_item_on_no_engine_is_loaded_first() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
     let steps = plan(&cell, &desired(&[(item("a", 1), 40)]), &Demand::default());
     assert!(matches!(&steps[0], Step::Load { item: i, .. } if *i == item("a", 1)));
 }
 
-/// An engine with room for one of two models that nobody holds. Callers wait for the smaller
-/// one; loaded in the order of their sizes, the one that nobody asks for kept them waiting.
+/// An engine has memory for one of two models that no engine holds. Callers wait for the smaller
+/// one; in order of size, the larger one without demand was loaded and they kept waiting.
 #[test]
-fn what_callers_wait_for_is_loaded_before_what_nobody_asks_for() {
+fn an_item_in_demand_is_loaded_before_an_idle_one() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[]));
     let mut demand = Demand::default();
     demand.record(&item("asked", 1).model, 50.0, Millis(1_000));
-    let want = desired(&[(item("idle", 1), 60), (item("asked", 1), 50)]);
-    let steps = plan(&cell, &want, &demand);
+    let desired_items = desired(&[(item("idle", 1), 60), (item("asked", 1), 50)]);
+    let steps = plan(&cell, &desired_items, &demand);
     assert!(matches!(&steps[0], Step::Load { item: i, .. } if *i == item("asked", 1)));
 }
 
 #[test]
-fn a_new_version_is_loaded_before_the_old_one_goes() {
+fn a_new_version_is_loaded_before_the_old_one_is_unloaded() {
     let mut cell = Cell::new();
     cell.put(&adopt(1, 1, false, &[("a", 40)]));
-    let want = desired(&[(item("a", 2), 40)]);
-    let steps = plan(&cell, &want, &Demand::default());
+    let desired_items = desired(&[(item("a", 2), 40)]);
+    let steps = plan(&cell, &desired_items, &Demand::default());
     assert!(matches!(&steps[0], Step::Load { item: i, .. } if i.version == 2));
     let order = cell.next;
     cell.put(&CellBody::Load {
@@ -371,7 +383,7 @@
         order: Offset(order),
         done: true,
     });
-    let steps = plan(&cell, &want, &Demand::default());
+    let steps = plan(&cell, &desired_items, &Demand::default());
     assert!(matches!(&steps[0], Step::Unload { item: i, retired: false, .. } if i.version == 1));
 }
 
@@ -382,8 +394,8 @@
     cell.put(&adopt(2, 1, false, &[("b", 40)]));
     let mut demand = Demand::default();
     demand.record(&item("a", 1).model, 3_000.0, Millis(1_000));
-    let want = desired(&[(item("a", 1), 40), (item("b", 1), 40)]);
-    let steps = plan(&cell, &want, &demand);
+    let desired_items = desired(&[(item("a", 1), 40), (item("b", 1), 40)]);
+    let steps = plan(&cell, &desired_items, &demand);
     let on_two = |s: &Step| matches!(s, Step::Load { engine: e, item: i, .. } if *e == engine(2) && *i == item("a", 1));
     assert!(steps.iter().any(on_two), "{steps:?}");
 }
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -65,7 +65,7 @@
 /// Returns the time until one more request is admitted.
 fn wait(bucket: &Bucket, rate: u64) -> Millis {
     let wait = bucket.wait(1.0, rate.max(1) as f64);
-    wait.expect("something comes in")
+    wait.expect("the refill rate is positive")
 }
 
 #[derive(Debug)]
--- a/crates/route/tests/crashes.rs
+++ b/crates/route/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What is kept of requests under which upstreams ended, and where they may go.
+//! Records of requests with crashes, and the upstreams that such requests may be sent to.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use shaleline_route::{
@@ -14,10 +14,10 @@
 
 const NOW: Millis = Millis(1_000_000);
 
-/// The bounds that `docs/CRASHES.md` names.
-const LIFE: u64 = 600_000;
-const OF_CALLER: usize = 32;
-const IN_ALL: usize = 1_024;
+/// The bounds given in `docs/CRASHES.md`.
+const CRASH_LIFETIME_MS: u64 = 600_000;
+const MAX_PER_CALLER: usize = 32;
+const MAX_REQUESTS: usize = 1_024;
 
 fn identity(caller: &str, number: u64) -> Identity {
     Identity::of(caller, &[caller.as_bytes(), &number.to_le_bytes()])
@@ -28,14 +28,14 @@
     StartTag::of(&name, Incarnation::default())
 }
 
-fn end_many(crashes: &mut Crashes, identity: Identity, count: usize, now: Millis) {
+fn crash_many(crashes: &mut Crashes, identity: Identity, count: usize, now: Millis) {
     for number in 0..count {
         crashes.on_end(identity, start(number as u64), now);
     }
 }
 
 #[test]
-fn one_start_of_an_upstream_counts_once() {
+fn one_upstream_start_counts_once() {
     let mut crashes = Crashes::default();
     let request = identity("a", 1);
     assert!(crashes.on_end(request, start(1), NOW).is_some());
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn an_upstream_that_started_again_unheard_of_counts_again() {
+fn a_second_crash_with_an_outdated_start_counts_again() {
     let mut crashes = Crashes::default();
     let request = identity("a", 1);
     crashes.on_end(request, start(1), NOW);
     let later = NOW.plus(2_500);
     let note = crashes.on_end(request, start(1), later).expect("news");
     assert_eq!(crashes.crash_count(&request.request), 2);
-    // Another daemon that saw the same end tells it as the same.
+    // Another daemon that saw the same crash reports it with the same tag.
     let mut other = Crashes::default();
     other.on_end(request, start(1), NOW);
     other.on_end(request, start(1), later.plus(20));
@@ -60,51 +60,51 @@
 }
 
 #[test]
-fn a_caller_with_many_requests_loses_its_own() {
+fn a_caller_with_many_requests_evicts_its_own() {
     let mut crashes = Crashes::default();
     let other = identity("b", 0);
-    end_many(&mut crashes, other, MAX_CRASHES, NOW);
-    for number in 0..10 * OF_CALLER as u64 {
-        end_many(&mut crashes, identity("a", number), MAX_CRASHES, NOW);
+    crash_many(&mut crashes, other, MAX_CRASHES, NOW);
+    for number in 0..10 * MAX_PER_CALLER as u64 {
+        crash_many(&mut crashes, identity("a", number), MAX_CRASHES, NOW);
     }
     assert_eq!(crashes.crash_count(&other.request), MAX_CRASHES);
-    assert_eq!(crashes.counts().0, OF_CALLER + 1);
+    assert_eq!(crashes.counts().0, MAX_PER_CALLER + 1);
 }
 
 #[test]
-fn many_callers_fill_no_more_than_there_is_room() {
+fn many_callers_stay_within_the_request_limit() {
     let mut crashes = Crashes::default();
     let victim = identity("victim", 0);
-    end_many(&mut crashes, victim, MAX_CRASHES, NOW);
-    for caller in 0..2 * (IN_ALL / OF_CALLER) {
-        for number in 0..OF_CALLER as u64 {
+    crash_many(&mut crashes, victim, MAX_CRASHES, NOW);
+    for caller in 0..2 * (MAX_REQUESTS / MAX_PER_CALLER) {
+        for number in 0..MAX_PER_CALLER as u64 {
             let name = format!("c{caller}");
-            end_many(&mut crashes, identity(&name, number), 1, NOW);
+            crash_many(&mut crashes, identity(&name, number), 1, NOW);
         }
     }
-    assert!(crashes.counts().0 <= IN_ALL);
+    assert!(crashes.counts().0 <= MAX_REQUESTS);
     assert_eq!(crashes.crash_count(&victim.request), MAX_CRASHES);
 }
 
-/// How many ends of a blocked request count so long after.
-fn left_after(millis: u64) -> usize {
+/// Returns how many crashes of a blocked request still count after `millis`.
+fn crashes_left_after(millis: u64) -> usize {
     let mut crashes = Crashes::default();
     let request = identity("a", 1);
-    end_many(&mut crashes, request, MAX_CRASHES, NOW);
+    crash_many(&mut crashes, request, MAX_CRASHES, NOW);
     for step in 0..=millis / 1_000 {
         crashes.tick(NOW.plus(step * 1_000));
     }
     crashes.crash_count(&request.request)
 }
 
-cases! { left_after;
-    a_blocked_request_stays_so: LIFE - 1_000 => MAX_CRASHES,
-    it_may_be_tried_once_after_its_time: LIFE => MAX_CRASHES - 1,
-    it_is_forgotten_in_the_end: 3 * LIFE => 0,
+cases! { crashes_left_after;
+    a_blocked_request_stays_blocked: CRASH_LIFETIME_MS - 1_000 => MAX_CRASHES,
+    one_crash_expires_after_the_lifetime: CRASH_LIFETIME_MS => MAX_CRASHES - 1,
+    all_crashes_expire_in_the_end: 3 * CRASH_LIFETIME_MS => 0,
 }
 
 #[test]
-fn what_was_cleared_does_not_come_back_with_late_news() {
+fn a_late_note_does_not_restore_a_cleared_crash() {
     let mut crashes = Crashes::default();
     let request = identity("a", 1);
     let late = crashes.on_end(request, start(1), NOW).expect("news");
@@ -113,32 +113,32 @@
     assert_eq!(crashes.crash_count(&request.request), 0);
 }
 
-/// What daemons find out, in the order in which it is found, and in which order each hears of it.
+/// Crash events in the order in which they occur, and the order in which notes are delivered.
 #[derive(Debug, Clone)]
-struct News {
-    found: Vec<(u64, u64, bool)>,
+struct NoteDelivery {
+    events: Vec<(u64, u64, bool)>,
     order: Vec<usize>,
 }
 
-impl Arbitrary for News {
+impl Arbitrary for NoteDelivery {
     fn arbitrary(g: &mut Gen) -> Self {
-        let found: Vec<(u64, u64, bool)> = Vec::<(u8, u8, u8)>::arbitrary(g)
+        let events: Vec<(u64, u64, bool)> = Vec::<(u8, u8, u8)>::arbitrary(g)
             .into_iter()
             .map(|(r, s, clears)| (u64::from(r % 3), u64::from(s % 5), clears % 6 == 0))
             .collect();
         let order = Vec::<u8>::arbitrary(g).into_iter().map(usize::from);
         Self {
             order: order.collect(),
-            found,
+            events,
         }
     }
 }
 
-/// Whoever has heard all knows the same, whatever came twice, late or in another order.
-fn all_agree(news: News) -> bool {
+/// Daemons that received all notes must agree, even if notes are duplicated, late or reordered.
+fn daemons_agree(delivery: NoteDelivery) -> bool {
     let mut first = Crashes::default();
     let mut notes: Vec<CrashNote> = Vec::new();
-    for (request, number, clears) in news.found {
+    for (request, number, clears) in delivery.events {
         let request = identity("a", request);
         notes.extend(match clears {
             true => first.clear(&request.request, NOW),
@@ -146,7 +146,7 @@
         });
     }
     let mut second = Crashes::default();
-    let some = news.order.iter().filter_map(|i| notes.get(*i));
+    let some = delivery.order.iter().filter_map(|i| notes.get(*i));
     some.chain(notes.iter().rev()).for_each(|n| {
         second.merge(n, NOW);
     });
@@ -158,20 +158,20 @@
 }
 
 #[test]
-fn daemons_agree_whatever_way_news_took() {
+fn daemons_agree_in_any_delivery_order() {
     QuickCheck::new()
         .tests(500)
-        .quickcheck(all_agree as fn(News) -> bool);
+        .quickcheck(daemons_agree as fn(NoteDelivery) -> bool);
 }
 
-/// A router before upstreams with room.
-struct Placing {
+/// A router with upstreams that have free slots.
+struct RouterFixture {
     router: Router,
-    at: BTreeMap<u64, (u32, Upstream)>,
+    in_flight: BTreeMap<u64, (u32, Upstream)>,
     refused: BTreeMap<u64, ErrorKind>,
 }
 
-impl Placing {
+impl RouterFixture {
     fn new(upstreams: u64, slots: usize) -> Self {
         let centre = DataCentre::from_text("dc1").expect("a valid name");
         let settings = RouterSettings::new(centre.clone());
@@ -195,7 +195,7 @@
         }
         Self {
             router,
-            at: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             refused: BTreeMap::new(),
         }
     }
@@ -209,10 +209,10 @@
                     upstream,
                     ..
                 } => {
-                    self.at.insert(id.0, (attempt, upstream));
+                    self.in_flight.insert(id.0, (attempt, upstream));
                 }
                 RouteAction::Cancel { id, .. } => {
-                    self.at.remove(&id.0);
+                    self.in_flight.remove(&id.0);
                 }
                 RouteAction::Refuse { id, kind, .. } => {
                     self.refused.insert(id.0, kind);
@@ -221,8 +221,8 @@
         }
     }
 
-    fn ask(&mut self, id: u64, identity: Identity) {
-        let ask = RouteRequest {
+    fn arrive(&mut self, id: u64, identity: Identity) {
+        let request = RouteRequest {
             id: RequestId(id),
             org: Org::from_text("o").expect("a valid name"),
             route: route(),
@@ -241,17 +241,17 @@
             policy: RequestPolicy::default(),
             identity: Some(identity),
         };
-        self.step(RouteEvent::Arrive(Box::new(ask)));
+        self.step(RouteEvent::Arrive(Box::new(request)));
     }
 
     fn end(&mut self, id: u64, end: AttemptEnd) {
-        let (attempt, _) = self.at.remove(&id).expect("it was sent");
+        let (attempt, _) = self.in_flight.remove(&id).expect("it was sent");
         let id = RequestId(id);
         self.step(RouteEvent::Ended { id, attempt, end });
     }
 
-    fn places(&self, ids: std::ops::Range<u64>) -> std::collections::BTreeSet<&Upstream> {
-        ids.filter_map(|id| self.at.get(&id).map(|a| &a.1))
+    fn upstreams_of(&self, ids: std::ops::Range<u64>) -> std::collections::BTreeSet<&Upstream> {
+        ids.filter_map(|id| self.in_flight.get(&id).map(|a| &a.1))
             .collect()
     }
 }
@@ -261,26 +261,26 @@
 }
 
 #[test]
-fn copies_at_once_are_at_three_upstreams_at_the_most() {
-    let mut placing = Placing::new(8, 20);
-    (0..12).for_each(|id| placing.ask(id, identity("a", 1)));
-    assert_eq!(placing.at.len(), 12);
-    assert_eq!(placing.places(0..12).len(), MAX_CRASHES);
+fn concurrent_copies_run_on_at_most_three_upstreams() {
+    let mut fixture = RouterFixture::new(8, 20);
+    (0..12).for_each(|id| fixture.arrive(id, identity("a", 1)));
+    assert_eq!(fixture.in_flight.len(), 12);
+    assert_eq!(fixture.upstreams_of(0..12).len(), MAX_CRASHES);
 }
 
 #[test]
-fn what_many_ask_for_uses_all_upstreams_once_it_ended_well() {
-    let mut placing = Placing::new(8, 20);
-    placing.ask(0, identity("a", 1));
-    placing.ask(1, identity("a", 1));
-    placing.end(0, AttemptEnd::Whole);
-    (2..40).for_each(|id| placing.ask(id, identity("a", 1)));
-    assert_eq!(placing.places(1..40).len(), 8);
+fn a_popular_request_uses_all_upstreams_after_a_success() {
+    let mut fixture = RouterFixture::new(8, 20);
+    fixture.arrive(0, identity("a", 1));
+    fixture.arrive(1, identity("a", 1));
+    fixture.end(0, AttemptEnd::Whole);
+    (2..40).for_each(|id| fixture.arrive(id, identity("a", 1)));
+    assert_eq!(fixture.upstreams_of(1..40).len(), 8);
 }
 
 #[test]
-fn two_suspects_are_never_at_one_upstream() {
-    let mut placing = Placing::new(4, 20);
+fn two_suspects_never_share_an_upstream() {
+    let mut fixture = RouterFixture::new(4, 20);
     let mut out = Vec::new();
     for request in 0..4 {
         let note = CrashNote {
@@ -289,40 +289,40 @@
             cleared: [].into(),
             age: 0,
         };
-        placing.router.merge_crashes(vec![note], NOW, &mut out);
+        fixture.router.merge_crashes(vec![note], NOW, &mut out);
     }
-    (0..4).for_each(|id| placing.ask(id, identity("a", id)));
-    assert_eq!(placing.places(0..4).len(), 4);
-    // Where each upstream has one, the next is told to come back; others are served.
+    (0..4).for_each(|id| fixture.arrive(id, identity("a", id)));
+    assert_eq!(fixture.upstreams_of(0..4).len(), 4);
+    // With a suspect at each upstream the next suspect is refused; other requests are served.
     let note = CrashNote {
         identity: identity("a", 9),
         ended: [start(90), start(91)].into(),
         cleared: [].into(),
         age: 0,
     };
-    placing.router.merge_crashes(vec![note], NOW, &mut out);
-    placing.ask(9, identity("a", 9));
-    placing.ask(10, identity("b", 1));
-    assert_eq!(placing.refused.get(&9), Some(&ErrorKind::NoUpstream));
-    assert!(placing.at.contains_key(&10));
+    fixture.router.merge_crashes(vec![note], NOW, &mut out);
+    fixture.arrive(9, identity("a", 9));
+    fixture.arrive(10, identity("b", 1));
+    assert_eq!(fixture.refused.get(&9), Some(&ErrorKind::NoUpstream));
+    assert!(fixture.in_flight.contains_key(&10));
 }
 
 #[test]
-fn copies_that_may_go_nowhere_keep_nobody_waiting() {
-    let mut placing = Placing::new(4, 2);
-    // Six fill three upstreams, the seventh waits first in line.
-    (0..7).for_each(|id| placing.ask(id, identity("a", 1)));
-    placing.ask(10, identity("b", 1));
-    placing.step(RouteEvent::Tick);
-    placing.step(RouteEvent::Tick);
-    assert!(placing.at.contains_key(&10), "{:?}", placing.refused);
-    assert!(placing.refused.contains_key(&6));
+fn unplaceable_copies_do_not_block_the_queue() {
+    let mut fixture = RouterFixture::new(4, 2);
+    // Six copies fill three upstreams; the seventh is first in the queue.
+    (0..7).for_each(|id| fixture.arrive(id, identity("a", 1)));
+    fixture.arrive(10, identity("b", 1));
+    fixture.step(RouteEvent::Tick);
+    fixture.step(RouteEvent::Tick);
+    assert!(fixture.in_flight.contains_key(&10), "{:?}", fixture.refused);
+    assert!(fixture.refused.contains_key(&6));
 }
 
 #[test]
-fn what_is_open_of_a_blocked_request_is_given_up() {
-    let mut placing = Placing::new(4, 20);
-    placing.ask(0, identity("a", 1));
+fn open_copies_of_a_blocked_request_fail() {
+    let mut fixture = RouterFixture::new(4, 20);
+    fixture.arrive(0, identity("a", 1));
     let note = CrashNote {
         identity: identity("a", 1),
         ended: (0..MAX_CRASHES as u64).map(start).collect(),
@@ -330,18 +330,18 @@
         age: 0,
     };
     let mut out = Vec::new();
-    placing.router.merge_crashes(vec![note], NOW, &mut out);
+    fixture.router.merge_crashes(vec![note], NOW, &mut out);
     let kinds = out.iter().filter_map(|a| match a {
         RouteAction::Refuse { kind, .. } => Some(*kind),
         _ => None,
     });
     assert_eq!(kinds.collect::<Vec<_>>(), [ErrorKind::EndsUpstreams]);
-    placing.ask(1, identity("a", 1));
-    assert_eq!(placing.refused.get(&1), Some(&ErrorKind::EndsUpstreams));
+    fixture.arrive(1, identity("a", 1));
+    assert_eq!(fixture.refused.get(&1), Some(&ErrorKind::EndsUpstreams));
 }
 
 #[test]
-fn a_digest_for_people_tells_nothing_of_a_request() {
+fn a_displayed_fingerprint_reveals_nothing_of_the_request() {
     let shown = Fingerprint::of(&[b"secret"]).to_string();
     assert_eq!(shown.len(), 8);
     assert!(Fingerprint::of(&[b"secret"]).to_hex().starts_with(&shown));
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! Admission, queues, choice, retries, leaving upstreams.
+//! Admission, queues, choice of upstream, retries and leaving upstreams.
 
 use shaleline_route::{
     prefix_chain, share_of, AttemptEnd, Drain, DrainAction, LimitKind, Limits, Load, PeerLoad,
@@ -29,7 +29,7 @@
     Route::Service(Service::from_text("alerts").expect("a valid name"))
 }
 
-fn add(router: &mut Router, name: &str, slots: usize) {
+fn add_upstream(router: &mut Router, name: &str, slots: usize) {
     let info = UpstreamInfo {
         centre: centre(),
         routes: vec![route()],
@@ -54,7 +54,7 @@
     );
 }
 
-fn ask(id: u64, name: &str, priority: u8) -> RouteRequest {
+fn request(id: u64, name: &str, priority: u8) -> RouteRequest {
     RouteRequest {
         id: RequestId(id),
         org: org(name),
@@ -76,8 +76,8 @@
     }
 }
 
-fn arrive(router: &mut Router, ask: RouteRequest) -> Vec<RouteAction> {
-    router.step(RouteEvent::Arrive(Box::new(ask)), NOW)
+fn arrive(router: &mut Router, request: RouteRequest) -> Vec<RouteAction> {
+    router.step(RouteEvent::Arrive(Box::new(request)), NOW)
 }
 
 fn end(router: &mut Router, id: u64, attempt: u32, end: AttemptEnd) -> Vec<RouteAction> {
@@ -101,9 +101,9 @@
     actions.iter().filter_map(kind).collect()
 }
 
-/// Found by `faults`, seed 1: an upstream told to be leaving before it was known got work.
+/// An upstream that was announced as leaving before it was known got requests.
 #[test]
-fn regression_an_upstream_told_to_be_leaving_before_it_is_known_gets_no_work() {
+fn regression_an_upstream_announced_as_leaving_before_it_is_known_gets_no_requests() {
     let mut r = router();
     let on = true;
     r.step(
@@ -113,15 +113,15 @@
         },
         NOW,
     );
-    add(&mut r, "a", 4);
-    assert!(sent_to(&arrive(&mut r, ask(1, "o", 1))).is_empty());
+    add_upstream(&mut r, "a", 4);
+    assert!(sent_to(&arrive(&mut r, request(1, "o", 1))).is_empty());
 }
 
-/// Found with it: one that fell silent and came back was no longer leaving.
+/// An upstream that disappeared and returned was no longer treated as leaving.
 #[test]
-fn regression_an_upstream_that_comes_back_is_still_leaving() {
+fn regression_an_upstream_that_returns_is_still_leaving() {
     let mut r = router();
-    add(&mut r, "a", 4);
+    add_upstream(&mut r, "a", 4);
     let on = true;
     r.step(
         RouteEvent::Leaving {
@@ -131,14 +131,14 @@
         NOW,
     );
     r.step(RouteEvent::Removed(up("a")), NOW);
-    add(&mut r, "a", 4);
-    assert!(sent_to(&arrive(&mut r, ask(1, "o", 1))).is_empty());
+    add_upstream(&mut r, "a", 4);
+    assert!(sent_to(&arrive(&mut r, request(1, "o", 1))).is_empty());
 }
 
 #[test]
-fn an_upstreams_own_report_stops_new_work() {
+fn an_upstreams_own_report_stops_new_requests() {
     let mut r = router();
-    add(&mut r, "a", 4);
+    add_upstream(&mut r, "a", 4);
     let load = Load {
         slots: 4,
         leaving: true,
@@ -151,25 +151,25 @@
         },
         NOW,
     );
-    assert!(sent_to(&arrive(&mut r, ask(1, "o", 1))).is_empty());
+    assert!(sent_to(&arrive(&mut r, request(1, "o", 1))).is_empty());
 }
 
 #[test]
 fn a_retry_goes_elsewhere_first() {
     let mut r = router();
-    add(&mut r, "a", 4);
-    add(&mut r, "b", 4);
-    let first = sent_to(&arrive(&mut r, ask(1, "o", 1)));
+    add_upstream(&mut r, "a", 4);
+    add_upstream(&mut r, "b", 4);
+    let first = sent_to(&arrive(&mut r, request(1, "o", 1)));
     let second = sent_to(&end(&mut r, 1, 1, AttemptEnd::Broken));
     assert_ne!(first[0].1, second[0].1);
 }
 
 #[test]
-fn what_must_not_be_repeated_is_not() {
+fn an_unrepeatable_request_is_not_retried() {
     let mut r = router();
-    add(&mut r, "a", 4);
-    add(&mut r, "b", 4);
-    let mut once = ask(1, "o", 1);
+    add_upstream(&mut r, "a", 4);
+    add_upstream(&mut r, "b", 4);
+    let mut once = request(1, "o", 1);
     once.repeatable = false;
     arrive(&mut r, once);
     let actions = end(&mut r, 1, 1, AttemptEnd::Broken);
@@ -178,11 +178,11 @@
 }
 
 #[test]
-fn a_failure_before_the_first_byte_may_be_repeated_always() {
+fn a_send_that_failed_before_the_request_was_written_is_always_retried() {
     let mut r = router();
-    add(&mut r, "a", 4);
-    add(&mut r, "b", 4);
-    let mut once = ask(1, "o", 1);
+    add_upstream(&mut r, "a", 4);
+    add_upstream(&mut r, "b", 4);
+    let mut once = request(1, "o", 1);
     once.repeatable = false;
     arrive(&mut r, once);
     assert_eq!(sent_to(&end(&mut r, 1, 1, AttemptEnd::NotSent)).len(), 1);
@@ -191,36 +191,37 @@
 #[test]
 fn a_late_answer_to_an_old_attempt_is_dropped_and_counted() {
     let mut r = router();
-    add(&mut r, "a", 4);
-    add(&mut r, "b", 4);
-    arrive(&mut r, ask(1, "o", 1));
+    add_upstream(&mut r, "a", 4);
+    add_upstream(&mut r, "b", 4);
+    arrive(&mut r, request(1, "o", 1));
     end(&mut r, 1, 1, AttemptEnd::Broken);
     assert!(end(&mut r, 1, 1, AttemptEnd::Whole).is_empty());
     assert_eq!((r.stats().open, r.stats().late), (1, 1));
 }
 
 #[test]
-fn urgent_work_never_waits_behind_what_may_wait() {
+fn urgent_requests_precede_less_urgent_ones() {
     let mut r = router();
-    add(&mut r, "a", 1);
-    arrive(&mut r, ask(1, "o", 5));
-    arrive(&mut r, ask(2, "o", 5));
-    arrive(&mut r, ask(3, "o", 0));
+    add_upstream(&mut r, "a", 1);
+    arrive(&mut r, request(1, "o", 5));
+    arrive(&mut r, request(2, "o", 5));
+    arrive(&mut r, request(3, "o", 0));
     assert_eq!(sent_to(&end(&mut r, 1, 1, AttemptEnd::Whole))[0].0, 3);
 }
 
-/// Requests on routes that a configuration had added were less urgent than others of their service. While it
-/// had more urgent ones than places, they waited until their time was over: 5 of 36 were served.
+/// Requests on routes added by configuration were less urgent than the others of their service.
+/// While the service had more urgent requests than slots, they waited until their deadline: 5 of 36
+/// were served.
 #[test]
-fn the_least_urgent_has_a_place_now_and_then() {
+fn the_least_urgent_request_gets_a_slot_at_intervals() {
     const FREED: u64 = 64;
     let mut r = router();
-    add(&mut r, "a", 1);
+    add_upstream(&mut r, "a", 1);
     for id in 1..=2 * FREED {
-        arrive(&mut r, ask(id, "urgent", 0));
+        arrive(&mut r, request(id, "urgent", 0));
     }
     for id in 1_001..=1_000 + FREED {
-        arrive(&mut r, ask(id, "other", 5));
+        arrive(&mut r, request(id, "other", 5));
     }
     let (mut running, mut served) = (1, Vec::new());
     for _ in 0..FREED {
@@ -233,11 +234,11 @@
 #[test]
 fn organisations_of_one_priority_take_turns_whatever_their_queues() {
     let mut r = router();
-    add(&mut r, "a", 1);
+    add_upstream(&mut r, "a", 1);
     for id in 1..=10 {
-        arrive(&mut r, ask(id, "many", 1));
+        arrive(&mut r, request(id, "many", 1));
     }
-    arrive(&mut r, ask(11, "few", 1));
+    arrive(&mut r, request(11, "few", 1));
     let mut order = Vec::new();
     let mut running = 1;
     for _ in 0..3 {
@@ -248,23 +249,26 @@
 }
 
 #[test]
-fn one_organisation_never_holds_every_place_while_others_use_the_upstream() {
+fn one_organisation_never_holds_every_slot_of_a_shared_upstream() {
     let mut r = router();
-    add(&mut r, "a", 8);
-    arrive(&mut r, ask(1, "few", 1));
+    add_upstream(&mut r, "a", 8);
+    arrive(&mut r, request(1, "few", 1));
     let sent: usize = (2..=20)
-        .map(|id| sent_to(&arrive(&mut r, ask(id, "many", 1))).len())
+        .map(|id| sent_to(&arrive(&mut r, request(id, "many", 1))).len())
         .sum();
-    assert_eq!(sent, 6, "a quarter of 8 places stays free of it");
-    assert_eq!(sent_to(&arrive(&mut r, ask(30, "few", 1))).len(), 1);
+    assert_eq!(
+        sent, 6,
+        "a quarter of 8 slots stays free of one organisation"
+    );
+    assert_eq!(sent_to(&arrive(&mut r, request(30, "few", 1))).len(), 1);
 }
 
 #[test]
-fn what_cannot_start_in_time_is_refused_at_once_with_when_to_come_back() {
+fn a_request_that_cannot_start_in_time_is_refused_with_a_retry_after() {
     let mut r = router();
-    add(&mut r, "a", 1);
-    arrive(&mut r, ask(1, "o", 1));
-    arrive(&mut r, ask(2, "o", 1));
+    add_upstream(&mut r, "a", 1);
+    arrive(&mut r, request(1, "o", 1));
+    arrive(&mut r, request(2, "o", 1));
     let due = NOW.plus(1_000);
     let actions = r.step(RouteEvent::Tick, due);
     assert_eq!(refused(&actions), [ErrorKind::DeadlineUnmet]);
@@ -272,31 +276,31 @@
 }
 
 #[test]
-fn requests_that_hang_move_elsewhere_and_the_upstream_is_left_alone() {
+fn hanging_requests_are_rerouted_and_open_the_breaker() {
     let mut r = router();
-    add(&mut r, "a", 4);
-    let first = sent_to(&arrive(&mut r, ask(1, "o", 1)));
+    add_upstream(&mut r, "a", 4);
+    let first = sent_to(&arrive(&mut r, request(1, "o", 1)));
     assert_eq!(first[0].1, "a");
-    add(&mut r, "b", 4);
+    add_upstream(&mut r, "b", 4);
     assert!(
         r.step(RouteEvent::Tick, NOW.plus(499)).is_empty(),
-        "half of its time"
+        "the stall timeout is half of the time left"
     );
     let later = NOW.plus(500);
     let actions = r.step(RouteEvent::Tick, later);
     assert!(matches!(&actions[0], RouteAction::Cancel { upstream, .. } if *upstream == up("a")));
     assert_eq!(sent_to(&actions), [(1, "b".to_owned())]);
-    let mut late = ask(2, "o", 1);
+    let mut late = request(2, "o", 1);
     late.due = later.plus(1_000);
     let next = r.step(RouteEvent::Arrive(Box::new(late)), later);
     assert_eq!(sent_to(&next)[0].1, "b");
 }
 
 #[test]
-fn limits_refuse_with_when_to_come_back() {
+fn limits_refuse_with_a_retry_after() {
     let mut r = router();
-    add(&mut r, "a", 100);
-    let mut limited = ask(1, "o", 1);
+    add_upstream(&mut r, "a", 100);
+    let mut limited = request(1, "o", 1);
     limited.limits.rate = 1;
     arrive(&mut r, limited.clone());
     limited.id = RequestId(2);
@@ -311,7 +315,7 @@
     assert_eq!(
         r.take_exceeded(),
         [(org("o"), LimitKind::Rate)],
-        "some may be borrowed"
+        "the daemon may borrow from others"
     );
     assert!(r.take_exceeded().is_empty());
 }
@@ -332,30 +336,30 @@
 }
 
 #[test]
-fn a_share_grows_late_and_shrinks_at_once() {
+fn a_share_grows_with_a_delay_and_shrinks_at_once() {
     let limit = 90;
     let kind = LimitKind::Rate;
-    let mut book = ShareBook::joining("a", Millis(0));
-    book.set_members(&["a", "b", "c"], Millis(0));
+    let mut shares = ShareBook::joining("a", Millis(0));
+    shares.set_members(&["a", "b", "c"], Millis(0));
     assert_eq!(
-        book.share(&org("o"), kind, limit, Millis(0)),
+        shares.share(&org("o"), kind, limit, Millis(0)),
         0,
-        "a newcomer has nothing"
+        "a joining daemon has no share"
     );
-    assert_eq!(book.share(&org("o"), kind, limit, Millis(3_000)), 30);
-    book.set_members(&["a", "b"], Millis(4_000));
+    assert_eq!(shares.share(&org("o"), kind, limit, Millis(3_000)), 30);
+    shares.set_members(&["a", "b"], Millis(4_000));
     assert_eq!(
-        book.share(&org("o"), kind, limit, Millis(4_000)),
+        shares.share(&org("o"), kind, limit, Millis(4_000)),
         30,
-        "c may still use its part"
+        "c may still use its share"
     );
-    assert_eq!(book.share(&org("o"), kind, limit, Millis(7_001)), 45);
-    book.set_members(&["a", "b", "c"], Millis(8_000));
-    assert_eq!(book.share(&org("o"), kind, limit, Millis(8_000)), 30);
+    assert_eq!(shares.share(&org("o"), kind, limit, Millis(7_001)), 45);
+    shares.set_members(&["a", "b", "c"], Millis(8_000));
+    assert_eq!(shares.share(&org("o"), kind, limit, Millis(8_000)), 30);
 }
 
 #[test]
-fn a_loan_never_makes_more_of_a_limit() {
+fn loans_never_exceed_the_limit() {
     let limits = Limits {
         rate: 100,
         concurrency: 100,
@@ -376,7 +380,7 @@
     assert_eq!(
         a.lend(&org("o"), kind, &limits, 0, Millis(2_000)),
         0,
-        "half at the most"
+        "at most half of the share is lent"
     );
 }
 
@@ -389,7 +393,7 @@
 }
 
 #[test]
-fn a_stop_waits_for_what_is_in_flight() {
+fn a_stop_waits_for_requests_in_flight() {
     let mut drain = Drain::new(Millis(100), Millis(10_000));
     let busy = Unfinished {
         requests: 1,
@@ -403,38 +407,38 @@
     assert_eq!(
         drain.tick(done, Millis(50)),
         None,
-        "others have not heard of it yet"
+        "other daemons were not notified yet"
     );
     assert_eq!(drain.tick(busy, Millis(100)), Some(DrainAction::Refuse));
     assert_eq!(drain.tick(busy, Millis(9_000)), None);
     assert_eq!(drain.tick(done, Millis(9_001)), Some(DrainAction::Exit));
 }
 
-/// Found by `compare`, flood: an organisation with room waited behind one that had none
-/// left, and less urgent ones were not looked at while a more urgent one waited.
+/// An organisation with free slots waited behind one that had none left, and less urgent
+/// organisations were not considered while a more urgent one waited.
 #[test]
-fn regression_who_has_room_does_not_wait_behind_who_has_none() {
+fn regression_an_organisation_with_free_slots_does_not_wait_behind_one_without() {
     let mut r = router();
-    add(&mut r, "a", 8);
-    arrive(&mut r, ask(1, "few", 5));
+    add_upstream(&mut r, "a", 8);
+    arrive(&mut r, request(1, "few", 5));
     for id in 2..=20 {
-        arrive(&mut r, ask(id, "many", 0));
+        arrive(&mut r, request(id, "many", 0));
     }
-    assert_eq!(sent_to(&arrive(&mut r, ask(30, "few", 5))).len(), 1);
+    assert_eq!(sent_to(&arrive(&mut r, request(30, "few", 5))).len(), 1);
     assert_eq!(
         sent_to(&end(&mut r, 30, 1, AttemptEnd::Whole)).len(),
         0,
-        "many has no place left"
+        "the organisation has no slot left"
     );
 }
 
-/// An engine that was about to drop a model refused 229 requests of one day: each was sent
-/// there anew.
+/// An engine that was about to unload a model refused 229 requests within a day, as each was sent
+/// there again.
 #[test]
-fn an_upstream_that_refused_is_passed_over_for_a_moment() {
+fn an_upstream_that_refused_is_skipped_briefly() {
     let mut router = router();
-    add(&mut router, "i-1", 4);
-    let sent = router.step(RouteEvent::Arrive(Box::new(ask(1, "a", 1))), NOW);
+    add_upstream(&mut router, "i-1", 4);
+    let sent = router.step(RouteEvent::Arrive(Box::new(request(1, "a", 1))), NOW);
     assert!(matches!(sent[..], [RouteAction::Send { .. }]));
     let end = RouteEvent::Ended {
         id: RequestId(1),
@@ -442,8 +446,15 @@
         end: AttemptEnd::Refused,
     };
     router.step(end, NOW);
-    let next = router.step(RouteEvent::Arrive(Box::new(ask(2, "a", 1))), NOW.plus(1));
-    assert_eq!(next, [], "it waits for the upstream to take requests again");
+    let next = router.step(
+        RouteEvent::Arrive(Box::new(request(2, "a", 1))),
+        NOW.plus(1),
+    );
+    assert_eq!(
+        next,
+        [],
+        "the request waits until the upstream is tried again"
+    );
     let later = router.step(RouteEvent::Tick, NOW.plus(100));
     assert!(
         matches!(later[..], [RouteAction::Send { .. }, ..]),
@@ -451,9 +462,8 @@
     );
 }
 
-/// A prompt of so many tokens at half a millisecond each, on a route whose prompts may have
-/// 125 ms ahead.
-fn paced(id: u64, tokens: u32) -> RouteRequest {
+/// A request with a prompt of `tokens` at half a millisecond each and a backlog limit of 125 ms.
+fn prompt_request(id: u64, tokens: u32) -> RouteRequest {
     RouteRequest {
         prefix: vec![id],
         block_sizes: vec![tokens],
@@ -462,12 +472,12 @@
             backlog_limit: Some(Millis(125)),
             ..RequestPolicy::default()
         },
-        ..ask(id, "o", 1)
+        ..request(id, "o", 1)
     }
 }
 
-/// What the other daemons have unread at the upstream, in milliseconds.
-fn others_have(router: &mut Router, name: &str, backlog: f64) {
+/// Reports the prompt backlog of the other daemons at the upstream, in milliseconds.
+fn report_peer_backlog(router: &mut Router, name: &str, backlog: f64) {
     let load = PeerLoad {
         running: 1,
         urgent: backlog,
@@ -478,7 +488,7 @@
 }
 
 /// A router beside others that send to the same upstreams.
-fn among_others() -> Router {
+fn router_with_peers() -> Router {
     let mut router = router();
     router.set_peer_visibility(PeerVisibility {
         own_share: 0.1,
@@ -487,28 +497,28 @@
     router
 }
 
-/// An engine reads prompts between the tokens of its streams: three that wait together stop
-/// all of them for longer than callers accept.
+/// An engine reads prompts between the tokens of its streams: three prompts in a row would stop all
+/// streams for longer than callers accept.
 #[test]
 fn a_second_prompt_waits_until_the_first_is_read() {
-    let mut r = among_others();
-    add(&mut r, "a", 40);
-    assert_eq!(sent_to(&arrive(&mut r, paced(1, 60))).len(), 1);
-    assert!(sent_to(&arrive(&mut r, paced(2, 60))).is_empty());
+    let mut r = router_with_peers();
+    add_upstream(&mut r, "a", 40);
+    assert_eq!(sent_to(&arrive(&mut r, prompt_request(1, 60))).len(), 1);
+    assert!(sent_to(&arrive(&mut r, prompt_request(2, 60))).is_empty());
     let (id, attempt) = (RequestId(1), 1);
     let next = r.step(RouteEvent::FirstByte { id, attempt }, NOW.plus(40));
     assert_eq!(sent_to(&next), [(2, "a".to_owned())]);
 }
 
 #[test]
-fn a_second_prompt_goes_elsewhere_at_once_where_there_is_an_elsewhere() {
+fn a_second_prompt_goes_to_another_upstream_at_once() {
     let mut r = router();
-    add(&mut r, "a", 40);
-    add(&mut r, "b", 40);
+    add_upstream(&mut r, "a", 40);
+    add_upstream(&mut r, "b", 40);
     let mut places: Vec<String> = Vec::new();
     for id in [1, 2] {
         places.extend(
-            sent_to(&arrive(&mut r, paced(id, 60)))
+            sent_to(&arrive(&mut r, prompt_request(id, 60)))
                 .into_iter()
                 .map(|s| s.1),
         );
@@ -518,46 +528,46 @@
 }
 
 #[test]
-fn prompts_of_other_daemons_count_and_grow_old() {
+fn the_backlog_of_other_daemons_counts_and_decays() {
     let mut r = router();
-    add(&mut r, "a", 40);
-    others_have(&mut r, "a", 110.0);
-    assert!(sent_to(&arrive(&mut r, paced(1, 60))).is_empty());
+    add_upstream(&mut r, "a", 40);
+    report_peer_backlog(&mut r, "a", 110.0);
+    assert!(sent_to(&arrive(&mut r, prompt_request(1, 60))).is_empty());
     let later = r.step(RouteEvent::Tick, NOW.plus(30));
     assert_eq!(sent_to(&later), [(1, "a".to_owned())]);
 }
 
-/// A prompt that alone takes longer than the pace would else never be sent.
+/// A prompt that exceeds the backlog limit alone would otherwise never be sent.
 #[test]
-fn a_large_prompt_is_sent_where_nothing_is_ahead() {
+fn a_large_prompt_is_sent_where_the_backlog_is_empty() {
     let mut r = router();
-    add(&mut r, "a", 40);
-    assert_eq!(sent_to(&arrive(&mut r, paced(1, 600))).len(), 1);
+    add_upstream(&mut r, "a", 40);
+    assert_eq!(sent_to(&arrive(&mut r, prompt_request(1, 600))).len(), 1);
 }
 
 #[test]
-fn what_can_keep_no_pace_in_time_is_refused_when_its_wait_is_over() {
+fn a_prompt_over_the_backlog_limit_is_refused_after_its_max_wait() {
     let mut r = router();
-    add(&mut r, "a", 40);
-    arrive(&mut r, paced(1, 600));
-    assert!(arrive(&mut r, paced(2, 60)).is_empty());
+    add_upstream(&mut r, "a", 40);
+    arrive(&mut r, prompt_request(1, 600));
+    assert!(arrive(&mut r, prompt_request(2, 60)).is_empty());
     assert!(refused(&r.step(RouteEvent::Tick, NOW.plus(299))).is_empty());
     let actions = r.step(RouteEvent::Tick, NOW.plus(300));
     assert_eq!(refused(&actions), [ErrorKind::DeadlineUnmet]);
 }
 
-/// Who could still be in time goes before who came back, whoever waited first.
+/// A request that can still be in time is served before a repeated one, whichever was queued first.
 #[test]
-fn a_first_try_goes_before_one_that_came_back() {
-    let mut r = among_others();
-    add(&mut r, "a", 40);
-    arrive(&mut r, paced(1, 60));
+fn a_first_attempt_precedes_a_repeated_request() {
+    let mut r = router_with_peers();
+    add_upstream(&mut r, "a", 40);
+    arrive(&mut r, prompt_request(1, 60));
     let back = RouteRequest {
         priority: 17,
-        ..paced(2, 60)
+        ..prompt_request(2, 60)
     };
     arrive(&mut r, back);
-    arrive(&mut r, paced(3, 60));
+    arrive(&mut r, prompt_request(3, 60));
     let (id, attempt) = (RequestId(1), 1);
     let next = r.step(RouteEvent::FirstByte { id, attempt }, NOW.plus(40));
     assert_eq!(sent_to(&next), [(3, "a".to_owned())]);
