--- a/crates/place/src/baseline.rs
+++ b/crates/place/src/baseline.rs
@@ -137,10 +137,10 @@
             }
         }
         let is_load = |s: &Step| matches!(s, Step::Load { .. });
-        let mut loads = plan.load_limit;
+        let mut loads_left = plan.load_limit;
         steps.retain(|s| {
-            let keep = !is_load(s) || loads > 0;
-            loads = loads.saturating_sub(usize::from(is_load(s)));
+            let keep = !is_load(s) || loads_left > 0;
+            loads_left = loads_left.saturating_sub(usize::from(is_load(s)));
             keep
         });
         steps
--- a/crates/place/src/draft.rs
+++ b/crates/place/src/draft.rs
@@ -11,7 +11,7 @@
     now: Millis,
     planner: &'a Planner,
     open: BTreeSet<&'a Upstream>,
-    loads: usize,
+    loads_left: usize,
     steps: Vec<Step>,
     spread: DemandSpread,
 }
@@ -29,7 +29,7 @@
             plan,
             now,
             planner,
-            loads: plan.load_limit,
+            loads_left: plan.load_limit,
             steps: Vec::new(),
         }
     }
@@ -39,10 +39,10 @@
     }
 
     fn load(&mut self, engine: &'a Upstream, item: &Item, size: Megabytes) {
-        if self.loads == 0 {
+        if self.loads_left == 0 {
             return;
         }
-        self.loads -= 1;
+        self.loads_left -= 1;
         self.open.remove(engine);
         self.steps.push(Step::Load {
             engine: engine.clone(),
@@ -120,11 +120,11 @@
     /// Loads what no live engine holds, before anything else and at any cost. Models with waiting
     /// callers come first, then the largest, for which it is hardest to find memory.
     pub(crate) fn place_missing(&mut self) {
-        let wanted = self.plan.desired;
-        let mut missing_items: Vec<(&Item, Megabytes)> = wanted
+        let desired = self.plan.desired;
+        let mut missing_items: Vec<(&Item, Megabytes)> = desired
             .bases()
             .filter(|(i, _)| self.holders(i).is_empty())
-            .map(|(i, _)| (i, wanted.whole_size(i)))
+            .map(|(i, _)| (i, desired.whole_size(i)))
             .collect();
         let unmet = |i: &Item| self.spread.excess(&i.model);
         missing_items.sort_by(|a, b| {
@@ -132,7 +132,7 @@
             by_demand.then(b.1.cmp(&a.1)).then_with(|| a.0.cmp(b.0))
         });
         for (base, whole) in missing_items {
-            let own = wanted.size(base).unwrap_or_default();
+            let own = desired.size(base).unwrap_or_default();
             if let Some(engine) = self.most_free_engine(base, whole) {
                 self.load(engine, base, own);
             } else if !self.make_room(base, whole) {
@@ -143,8 +143,8 @@
     }
 
     fn place_missing_adapters(&mut self) {
-        let wanted = self.plan.desired;
-        let adapters = wanted.iter().filter(|(i, _)| !i.is_base());
+        let desired = self.plan.desired;
+        let adapters = desired.iter().filter(|(i, _)| !i.is_base());
         let missing_items: Vec<(&Item, Megabytes)> = adapters
             .filter(|(i, _)| self.holders(i).is_empty())
             .collect();
@@ -310,9 +310,9 @@
     /// Adds a replica of models whose engines are above the target, where the gain over the horizon
     /// exceeds the cost of the move.
     pub(crate) fn add_replicas(&mut self) {
-        let wanted = self.plan.desired;
+        let desired = self.plan.desired;
         let excess = |i: &Item| self.spread.excess(&i.model);
-        let mut overloaded: Vec<(&Item, f64)> = wanted
+        let mut overloaded: Vec<(&Item, f64)> = desired
             .bases()
             .map(|(i, _)| (i, excess(i)))
             .filter(|(_, x)| *x > 0.0)
@@ -383,8 +383,8 @@
 
     /// Adds a replica in a second data centre where memory is free.
     pub(crate) fn spread_over_centres(&mut self) {
-        let wanted = self.plan.desired;
-        for (base, size) in wanted.bases() {
+        let desired = self.plan.desired;
+        for (base, size) in desired.bases() {
             let holders = self.holders(base);
             let centres: BTreeSet<&DataCentre> = holders
                 .iter()
@@ -394,7 +394,7 @@
             if holders.is_empty() || centres.len() > 1 {
                 continue;
             }
-            let whole = wanted.whole_size(base);
+            let whole = desired.whole_size(base);
             let elsewhere = self.most_free_engine(base, whole).filter(|e| {
                 let centre = self.plan.views.get(*e).map(|v| &v.centre);
                 centre.is_some_and(|c| !centres.contains(c))
@@ -407,7 +407,7 @@
 
     /// Loads missing adapters of the weights that an engine holds.
     pub(crate) fn load_adapters(&mut self) {
-        let wanted = self.plan.desired;
+        let desired = self.plan.desired;
         let engines: Vec<&Upstream> = self.open.iter().copied().collect();
         for engine in engines {
             let ledger = &self.plan.ledgers[engine];
@@ -418,7 +418,7 @@
             let missing = |(i, m): &(&Item, Megabytes)| {
                 ledger.state_of(i).is_none() && !ledger.barred.contains(*i) && ledger.free() >= *m
             };
-            let next = bases.flat_map(|b| wanted.adapters(b)).find(missing);
+            let next = bases.flat_map(|b| desired.adapters(b)).find(missing);
             if let Some((item, size)) = next {
                 self.load(engine, item, size);
             }
--- a/crates/place/src/spread.rs
+++ b/crates/place/src/spread.rs
@@ -111,12 +111,12 @@
     if engines.is_empty() {
         return rate;
     }
-    let over = |engine: &&Upstream| {
+    let excess_on = |engine: &&Upstream| {
         let load = result.load(engine);
         let capacity = result.capacity.get(*engine).copied().unwrap_or(0.0);
         let share = result.share(engine, model);
-        let part = if load > 0.0 { share / load } else { 0.0 };
-        (load - capacity).max(0.0) * part
+        let fraction = if load > 0.0 { share / load } else { 0.0 };
+        (load - capacity).max(0.0) * fraction
     };
-    engines.iter().map(over).sum()
+    engines.iter().map(excess_on).sum()
 }
--- a/crates/route/src/allocator.rs
+++ b/crates/route/src/allocator.rs
@@ -127,8 +127,8 @@
         let max_level = capacity(allowance, share, tolerance);
         let split = tolerance.split(allowance, share.daemons);
         // A request that exceeds the bucket's capacity is charged as debt.
-        let least = cost.min(max_level).max(cost - split.debt * share.fraction);
-        if account.bucket.level() >= least {
+        let required = cost.min(max_level).max(cost - split.debt * share.fraction);
+        if account.bucket.level() >= required {
             account.bucket.take(cost);
             let credit = split.credit - held as f64;
             // Half of the capacity is kept back, as other daemons may need it at once.
@@ -137,10 +137,10 @@
             account.bucket.take(advance);
             return GrantResponse::Granted(need + advance as u64);
         }
-        if least > max_level {
+        if required > max_level {
             return GrantResponse::Denied(MAX_RETRY_AFTER);
         }
-        GrantResponse::Denied(reserve_retry(account, allowance, share, least, now))
+        GrantResponse::Denied(reserve_retry(account, allowance, share, required, now))
     }
 
     /// Returns the amount granted for a request that didn't run.
@@ -207,7 +207,7 @@
     };
     let latest = now.plus(MAX_RETRY_AFTER.0);
     let at = now.plus(wait.0).max(account.reserved_until).min(latest);
-    let takes = (need * 1_000.0 / rate).ceil() as u64;
-    account.reserved_until = at.plus(takes).min(latest);
+    let refill_ms = (need * 1_000.0 / rate).ceil() as u64;
+    account.reserved_until = at.plus(refill_ms).min(latest);
     Millis(at.since(now).max(1))
 }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -34,19 +34,19 @@
 /// What other daemons have sent most recently is not known yet. If all of them sent to the upstream
 /// that looks cheapest, it would be overloaded. Each upstream is therefore drawn in proportion to
 /// the unseen work that would level its cost with the others.
-pub(crate) fn draw_by_cost<'a>(
+pub(crate) fn sample_by_cost<'a>(
     costs: &[(&'a Upstream, f64)],
     unseen: f64,
-    draw: f64,
+    sample: f64,
 ) -> Option<&'a Upstream> {
     let by_cost = |a: &&(&Upstream, f64), b: &&(&Upstream, f64)| a.1.total_cmp(&b.1);
-    let (best, least) = costs.iter().min_by(by_cost)?;
-    let weight = |cost: f64| (least + unseen - cost).max(0.0);
-    let all: f64 = costs.iter().map(|(_, c)| weight(*c)).sum();
-    let mut left = draw * all;
+    let (best, min_cost) = costs.iter().min_by(by_cost)?;
+    let weight = |cost: f64| (min_cost + unseen - cost).max(0.0);
+    let total: f64 = costs.iter().map(|(_, c)| weight(*c)).sum();
+    let mut remaining = sample * total;
     for (name, cost) in costs {
-        left -= weight(*cost);
-        if left < 0.0 {
+        remaining -= weight(*cost);
+        if remaining < 0.0 {
             return Some(name);
         }
     }
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -57,7 +57,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Known {
+struct CrashState {
     caller: u64,
     ended: BTreeSet<StartTag>,
     cleared: BTreeSet<StartTag>,
@@ -65,7 +65,7 @@
     since: Millis,
 }
 
-impl Known {
+impl CrashState {
     fn active(&self) -> impl Iterator<Item = &StartTag> {
         self.ended.difference(&self.cleared)
     }
@@ -89,14 +89,14 @@
 /// The requests under which upstreams crashed, as known to this daemon.
 #[derive(Debug, Default)]
 pub struct Crashes {
-    known: BTreeMap<Fingerprint, Known>,
+    known: BTreeMap<Fingerprint, CrashState>,
 }
 
 impl Crashes {
     /// Returns the number of crashes that count for a request.
     #[must_use]
     pub fn crash_count(&self, request: &Fingerprint) -> usize {
-        self.known.get(request).map_or(0, Known::crash_count)
+        self.known.get(request).map_or(0, CrashState::crash_count)
     }
 
     /// Records a crash under a request. Returns the note to send to other daemons if the crash is
@@ -154,7 +154,7 @@
             }
             self.make_room(note.identity.caller, now);
         }
-        let known = self.known.entry(request).or_insert_with(|| Known {
+        let known = self.known.entry(request).or_insert_with(|| CrashState {
             caller: note.identity.caller,
             ended: BTreeSet::new(),
             cleared: BTreeSet::new(),
@@ -163,11 +163,11 @@
         let before = known.ended.len() + known.cleared.len();
         known.ended.extend(note.ended.iter().copied());
         known.cleared.extend(note.cleared.iter().copied());
-        let news = known.ended.len() + known.cleared.len() > before;
-        if news {
+        let changed = known.ended.len() + known.cleared.len() > before;
+        if changed {
             known.since = known.since.max(since);
         }
-        news
+        changed
     }
 
     /// Returns the note about a request that is sent to other daemons.
@@ -228,7 +228,7 @@
                 known.since = now;
             }
         }
-        let keep = |k: &Known| k.crash_count() > 0 || now.since(k.since) < CLEARED_MS;
+        let keep = |k: &CrashState| k.crash_count() > 0 || now.since(k.since) < CLEARED_MS;
         self.known.retain(|_, k| keep(k));
     }
 
@@ -251,8 +251,9 @@
             return;
         };
         let of_victim = self.known.iter().filter(|(_, k)| k.caller == victim);
-        let least = of_victim.min_by_key(|(_, k)| (k.crash_count(), u64::MAX - now.since(k.since)));
-        if let Some(request) = least.map(|(r, _)| *r) {
+        let evicted =
+            of_victim.min_by_key(|(_, k)| (k.crash_count(), u64::MAX - now.since(k.since)));
+        if let Some(request) = evicted.map(|(r, _)| *r) {
             self.known.remove(&request);
         }
     }
@@ -261,7 +262,7 @@
     #[must_use]
     pub fn records(&self, now: Millis) -> Vec<CrashRecord> {
         let active = self.known.iter().filter(|(_, k)| k.crash_count() > 0);
-        let record = |(request, known): (&Fingerprint, &Known)| CrashRecord {
+        let record = |(request, known): (&Fingerprint, &CrashState)| CrashRecord {
             request: *request,
             ended: known.active().copied().collect(),
             age: Millis(now.since(known.since)),
@@ -272,7 +273,7 @@
     /// Returns the number of requests with crashes, and the number of them that are blocked.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        let crash_count = self.known.values().map(Known::crash_count);
+        let crash_count = self.known.values().map(CrashState::crash_count);
         let active: Vec<usize> = crash_count.filter(|e| *e > 0).collect();
         let blocked = active.iter().filter(|e| **e >= MAX_CRASHES).count();
         (active.len(), blocked)
--- a/crates/route/src/credit.rs
+++ b/crates/route/src/credit.rs
@@ -80,8 +80,8 @@
     cost: u64,
     /// The allocators that were not queried yet, the next one last.
     remaining: Vec<SocketAddr>,
-    asked: Option<SocketAddr>,
-    soonest: Option<Millis>,
+    queried: Option<SocketAddr>,
+    min_wait: Option<Millis>,
 }
 
 impl GrantRequest {
@@ -92,33 +92,33 @@
             org,
             cost,
             remaining: allocators.iter().rev().copied().collect(),
-            asked: None,
-            soonest: None,
+            queried: None,
+            min_wait: None,
         }
     }
 
     /// Returns the first step, or the next one after an allocator that didn't respond.
     pub fn next_step(&mut self, credits: &mut Credits, now: Millis) -> GrantStep {
-        if self.asked.is_none() && credits.take(&self.org, self.cost) {
+        if self.queried.is_none() && credits.take(&self.org, self.cost) {
             return GrantStep::Admit;
         }
         while let Some(allocator) = self.remaining.pop() {
             match credits.denied(allocator, &self.org, self.cost, now) {
                 Some(wait) => self.note_denied(wait),
                 None => {
-                    self.asked = Some(allocator);
+                    self.queried = Some(allocator);
                     return GrantStep::Query(allocator);
                 }
             }
         }
-        match self.soonest {
+        match self.min_wait {
             Some(wait) => GrantStep::Refuse(wait),
             None => GrantStep::Unanswered,
         }
     }
 
     fn note_denied(&mut self, wait: Millis) {
-        self.soonest = Some(self.soonest.map_or(wait, |s| s.min(wait)));
+        self.min_wait = Some(self.min_wait.map_or(wait, |s| s.min(wait)));
     }
 
     /// Handles the response of the allocator that was queried last.
@@ -136,7 +136,7 @@
             }
             GrantResponse::Denied(wait) => {
                 self.note_denied(wait);
-                if let Some(allocator) = self.asked {
+                if let Some(allocator) = self.queried {
                     let until = now.plus(wait.0);
                     let cost = self.cost;
                     credits.on_denied(allocator, &self.org, Denial { cost, until });
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -108,14 +108,14 @@
         now: Millis,
         out: &mut Vec<RouteAction>,
     ) -> Vec<CrashNote> {
-        let mut news = Vec::new();
+        let mut new_notes = Vec::new();
         for note in notes {
             if self.crashes.merge(&note, now) {
                 self.stop_blocked(&note.identity.request, out);
-                news.push(note);
+                new_notes.push(note);
             }
         }
-        news
+        new_notes
     }
 
     /// Clears the crashes of a request that an operator declared harmless.
@@ -218,11 +218,11 @@
         if ends == 0 && free {
             return true;
         }
-        let places = self.upstreams_of(&identity.request);
-        if places.contains(name) {
+        let upstreams = self.upstreams_of(&identity.request);
+        if upstreams.contains(name) {
             return true;
         }
-        ends + places.len() < MAX_CRASHES
+        ends + upstreams.len() < MAX_CRASHES
             && (ends < ISOLATION_CRASHES || self.has_no_suspects(state))
     }
 
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -58,8 +58,8 @@
 }
 
 fn refill(bucket: &mut Bucket, rate: u64, now: Millis) {
-    let most = (rate as f64 * BURST_MS / 1_000.0).max(1.0);
-    bucket.refill(rate as f64, most, now);
+    let capacity = (rate as f64 * BURST_MS / 1_000.0).max(1.0);
+    bucket.refill(rate as f64, capacity, now);
 }
 
 /// Returns the time until one more request is admitted.
@@ -91,7 +91,7 @@
         now: Millis,
     ) -> Result<(), (LimitKind, Millis)> {
         let share = |kind| shares.share(org, kind, limits.get(kind), now);
-        let (rate, tokens, most) = (
+        let (rate, tokens, max_running) = (
             share(LimitKind::Rate),
             share(LimitKind::Tokens),
             share(LimitKind::Concurrency),
@@ -104,28 +104,28 @@
             tokens: full(tokens),
             running: 0,
         };
-        let used = self.orgs.entry(org.clone()).or_insert_with(fresh);
-        refill(&mut used.rate, rate, now);
-        refill(&mut used.tokens, tokens, now);
-        if used.running >= most {
+        let usage = self.orgs.entry(org.clone()).or_insert_with(fresh);
+        refill(&mut usage.rate, rate, now);
+        refill(&mut usage.tokens, tokens, now);
+        if usage.running >= max_running {
             return Err((LimitKind::Concurrency, Millis(200)));
         }
-        if rate == 0 || used.rate.level() < 1.0 {
-            return Err((LimitKind::Rate, wait(&used.rate, rate)));
+        if rate == 0 || usage.rate.level() < 1.0 {
+            return Err((LimitKind::Rate, wait(&usage.rate, rate)));
         }
-        if tokens == 0 || used.tokens.level() < 1.0 {
-            return Err((LimitKind::Tokens, wait(&used.tokens, tokens)));
+        if tokens == 0 || usage.tokens.level() < 1.0 {
+            return Err((LimitKind::Tokens, wait(&usage.tokens, tokens)));
         }
-        used.rate.take(1.0);
-        used.running += 1;
+        usage.rate.take(1.0);
+        usage.running += 1;
         Ok(())
     }
 
     /// Charges the cost of an answer and frees its slot.
     pub(crate) fn finish(&mut self, org: &Org, tokens: u64) {
-        if let Some(used) = self.orgs.get_mut(org) {
-            used.tokens.take(tokens as f64);
-            used.running = used.running.saturating_sub(1);
+        if let Some(usage) = self.orgs.get_mut(org) {
+            usage.tokens.take(tokens as f64);
+            usage.running = usage.running.saturating_sub(1);
         }
     }
 
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,7 +1,7 @@
 //! The router's core: admission and dispatch. The module `ending` handles how sends end, and
 //! `waiting` handles requests that wait or hang.
 
-use crate::choose::{draw_by_cost, Chooser};
+use crate::choose::{sample_by_cost, Chooser};
 use crate::estimate::TokenCosts;
 use crate::isolation::Copies;
 use crate::limit::Limiter;
@@ -317,8 +317,8 @@
         });
         let costs = costs.filter(|(name, _)| !untried || fresh(name));
         let costs: Vec<(&Upstream, f64)> = costs.collect();
-        let draw = self.rng.borrow_mut().random();
-        let best = draw_by_cost(&costs, self.visibility.unseen_ms, draw)?;
+        let sample = self.rng.borrow_mut().random();
+        let best = sample_by_cost(&costs, self.visibility.unseen_ms, sample)?;
         Some(best.clone())
     }
 
--- a/crates/route/src/share.rs
+++ b/crates/route/src/share.rs
@@ -23,8 +23,8 @@
 pub fn share_of(limit: u64, key: &str, me: &str, members: &[&str]) -> u64 {
     let count = members.len().max(1) as u64;
     let ranked = rank(key, members.iter().copied());
-    let place = ranked.iter().position(|m| *m == me);
-    let extra = place.is_some_and(|p| (p as u64) < limit % count);
+    let position = ranked.iter().position(|m| *m == me);
+    let extra = position.is_some_and(|p| (p as u64) < limit % count);
     limit / count + u64::from(extra)
 }
 
@@ -138,14 +138,14 @@
         in_use: u64,
         now: Millis,
     ) -> u64 {
-        let idle = self
+        let unused = self
             .share(org, kind, limits.get(kind), now)
             .saturating_sub(in_use);
         let own_share = self.own_share(org, limits.get(kind), now);
-        let most = if own_share == 1 { 1 } else { own_share / 2 };
+        let max_lent = if own_share == 1 { 1 } else { own_share / 2 };
         let key = (org.clone(), kind);
         let lent = self.accounts.get(&key).map_or(0, |a| sum(&a.lent, now));
-        let amount = idle.min(most.saturating_sub(lent));
+        let amount = unused.min(max_lent.saturating_sub(lent));
         if amount == 0 {
             return 0;
         }
@@ -158,16 +158,16 @@
         amount
     }
 
-    /// Adds a loan that was requested at `asked`.
-    pub fn borrow(&mut self, org: &Org, kind: LimitKind, amount: u64, asked: Millis) {
+    /// Adds a loan; its duration counts from the time of the request.
+    pub fn borrow(&mut self, org: &Org, kind: LimitKind, amount: u64, requested_at: Millis) {
         if amount == 0 {
             return;
         }
         let account = self.accounts.entry((org.clone(), kind)).or_default();
-        account.borrowed.retain(|l| l.until > asked);
+        account.borrowed.retain(|l| l.until > requested_at);
         account.borrowed.push(Loan {
             amount,
-            until: asked.plus(LOAN_MS),
+            until: requested_at.plus(LOAN_MS),
         });
     }
 
