--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -71,14 +71,14 @@
         state: &UpstreamState,
         request: &RouteRequest,
         index: usize,
-        of: usize,
+        count: usize,
     ) -> f64 {
         match self.choice {
             ChoicePolicy::Expected => self.expected(state, request),
             ChoicePolicy::Reported => (state.load.running + state.load.waiting) as f64,
             ChoicePolicy::RoundRobin => {
-                let of = of.max(1);
-                ((index + of - (self.send_count as usize % of)) % of) as f64
+                let count = count.max(1);
+                ((index + count - (self.send_count as usize % count)) % count) as f64
             }
         }
     }
@@ -96,12 +96,12 @@
         let Some(limit) = request.policy.backlog_limit else {
             return true;
         };
-        let ahead = state.backlog(false, self.now);
+        let backlog = state.backlog(false, self.now);
         let limit = limit.0 as f64;
-        let own = state.own_load().backlog;
-        let room = own <= limit * self.own_share;
-        ahead <= limit * EMPTY_BACKLOG_SHARE
-            || (room && ahead + self.prompt_ms(state, request) <= limit)
+        let own_backlog = state.own_load().backlog;
+        let own_fits = own_backlog <= limit * self.own_share;
+        backlog <= limit * EMPTY_BACKLOG_SHARE
+            || (own_fits && backlog + self.prompt_ms(state, request) <= limit)
     }
 
     /// Returns the expected time to the first byte, as far as prompts determine it.
@@ -115,13 +115,16 @@
     }
 
     fn expected(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
-        let fill = state.busy() as f64 / state.slots() as f64;
-        let far = if state.site.centre == *self.home {
+        let utilisation = state.busy() as f64 / state.slots() as f64;
+        let centre_cost = if state.info.centre == *self.home {
             0.0
         } else {
             OTHER_CENTRE_MS
         };
-        let failing = state.failures.get(self.now) * FAILURE_MS;
-        self.first_byte_ms(state, request) + fill * fill * FULL_LOAD_MS + far + failing
+        let failure_cost = state.failures.get(self.now) * FAILURE_MS;
+        self.first_byte_ms(state, request)
+            + utilisation * utilisation * FULL_LOAD_MS
+            + centre_cost
+            + failure_cost
     }
 }
--- a/crates/route/src/ending.rs
+++ b/crates/route/src/ending.rs
@@ -43,7 +43,7 @@
         let Some(send) = state.in_flight.get_mut(&id) else {
             return;
         };
-        if !std::mem::replace(&mut send.answered, true) && send.work > 0.0 {
+        if !std::mem::replace(&mut send.answered, true) && send.prompt_ms > 0.0 {
             let ratio = ratio_of(now.since(send.sent) as f64, send.expected);
             state.slowness.learn(ratio, now);
             let route = &open.request.route;
@@ -106,12 +106,12 @@
         match end {
             AttemptEnd::Whole => {
                 state.last_byte = now;
-                state.failures.note(0.0, now);
+                state.failures.record(0.0, now);
                 state.breaker.on_success();
                 self.budget.on_success();
             }
             AttemptEnd::NotSent | AttemptEnd::Broken | AttemptEnd::UpstreamEnded(_) => {
-                state.failures.note(1.0, now);
+                state.failures.record(1.0, now);
                 self.stats.opened += u64::from(state.breaker.on_failure(now));
             }
             AttemptEnd::Refused | AttemptEnd::Cancelled => state.breaker.on_inconclusive(),
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -61,7 +61,8 @@
     }
 
     fn prune(&mut self, now: Millis) {
-        self.harmless.retain(|_, at| now.since(*at) < HARMLESS_MS);
+        self.harmless
+            .retain(|_, sent_to| now.since(*sent_to) < HARMLESS_MS);
     }
 
     pub(crate) fn remove(&mut self, request: &RouteRequest) {
@@ -170,9 +171,9 @@
             let Some(open) = self.open.get(&id) else {
                 continue;
             };
-            let (request, at, attempt) =
+            let (request, sent_to, attempt) =
                 (open.request.clone(), open.upstream.clone(), open.attempt);
-            match at {
+            match sent_to {
                 Some(upstream) => {
                     if let Some(state) = self.upstreams.get_mut(&upstream) {
                         state.on_end(id);
@@ -209,21 +210,21 @@
         let Some(identity) = request.identity else {
             return true;
         };
-        let ends = self.crashes.crash_count(&identity.request);
-        if ends >= MAX_CRASHES {
+        let crash_count = self.crashes.crash_count(&identity.request);
+        if crash_count >= MAX_CRASHES {
             return false;
         }
-        let free =
+        let unrestricted =
             self.copies.is_single(&identity.request) || self.copies.is_harmless(&identity.request);
-        if ends == 0 && free {
+        if crash_count == 0 && unrestricted {
             return true;
         }
         let upstreams = self.upstreams_of(&identity.request);
         if upstreams.contains(name) {
             return true;
         }
-        ends + upstreams.len() < MAX_CRASHES
-            && (ends < ISOLATION_CRASHES || self.has_no_suspects(state))
+        crash_count + upstreams.len() < MAX_CRASHES
+            && (crash_count < ISOLATION_CRASHES || self.has_no_suspects(state))
     }
 
     /// Returns whether the upstream runs no request that must be isolated.
@@ -235,7 +236,7 @@
 
     /// Returns whether the request must not be queued: it would block those behind it, and the time
     /// when it may be sent is unknown.
-    pub(crate) fn never_waits(&self, request: &RouteRequest) -> bool {
+    pub(crate) fn must_not_queue(&self, request: &RouteRequest) -> bool {
         self.crash_count(request) >= ISOLATION_CRASHES
     }
 
@@ -246,11 +247,11 @@
             .queues
             .values()
             .flat_map(crate::queue::RouteQueue::heads);
-        let barred = |id: &RequestId| {
+        let unplaceable = |id: &RequestId| {
             let request = self.open.get(id).map(|o| &o.request);
             request.is_some_and(|a| self.is_unplaceable(a, now))
         };
-        let ids: Vec<RequestId> = heads.map(|h| h.id).filter(barred).collect();
+        let ids: Vec<RequestId> = heads.map(|h| h.id).filter(unplaceable).collect();
         for id in ids {
             let Some(request) = self.open.get(&id).map(|o| o.request.clone()) else {
                 continue;
@@ -264,15 +265,19 @@
         let Some(identity) = request.identity else {
             return false;
         };
-        let ends = self.crashes.crash_count(&identity.request);
-        if ends == 0 && self.copies.of(&identity.request).nth(MAX_CRASHES).is_none() {
+        let crash_count = self.crashes.crash_count(&identity.request);
+        if crash_count == 0 && self.copies.of(&identity.request).nth(MAX_CRASHES).is_none() {
             return false;
         }
-        let roomy = |b: &UpstreamState| {
-            b.routes.contains(&request.route) && b.has_room_for(&request.org, now)
+        let has_slot = |b: &UpstreamState| {
+            b.routes.contains(&request.route) && b.has_free_slot_for(&request.org, now)
         };
-        let mut with_room = self.upstreams.iter().filter(|(_, b)| roomy(b)).peekable();
-        with_room.peek().is_some()
-            && !with_room.any(|(name, state)| self.may_send_to(request, name, state))
+        let mut with_free_slots = self
+            .upstreams
+            .iter()
+            .filter(|(_, b)| has_slot(b))
+            .peekable();
+        with_free_slots.peek().is_some()
+            && !with_free_slots.any(|(name, state)| self.may_send_to(request, name, state))
     }
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -165,7 +165,7 @@
 
     pub(crate) fn serves(&mut self, upstream: &Upstream, site: UpstreamInfo) {
         match self.upstreams.get_mut(upstream) {
-            Some(state) => state.set_site(site),
+            Some(state) => state.set_info(site),
             None => {
                 let mut state = UpstreamState::new(site);
                 state.leaving = self.leaving.contains(upstream);
@@ -210,11 +210,11 @@
         }
         let (org, priority) = (request.org.clone(), request.priority);
         let queue = self.queues.get(&request.route);
-        let (waiting, expected) = queue.map_or((0, None), |q| {
+        let (queued, expected) = queue.map_or((0, None), |q| {
             let ahead = q.ahead(priority, &org);
             (q.len(), q.expected_wait(ahead, now).filter(|_| ahead > 0))
         });
-        let full = waiting >= self.settings.queue_limit;
+        let full = queued >= self.settings.queue_limit;
         let late = expected
             .map(|w| now.plus(w.0))
             .filter(|at| *at > request.due);
@@ -269,19 +269,19 @@
                 return;
             }
         }
-        if self.never_waits(request) {
+        if self.must_not_queue(request) {
             self.fail(id, ErrorKind::NoUpstream, out);
             return;
         }
-        let waiting = QueuedRequest {
+        let queued = QueuedRequest {
             id,
             due: request.start_by(now),
         };
         let (route, priority, org) = (request.route.clone(), request.priority, request.org.clone());
-        let able = self.choose(open, now);
+        let eligible = self.choose(open, now);
         let queue = self.queues.entry(route).or_default();
-        queue.push(priority, &org, waiting, repeat);
-        if let Some(upstream) = able {
+        queue.push(priority, &org, queued, repeat);
+        if let Some(upstream) = eligible {
             self.dispatch_queued(&upstream, now, out);
         }
     }
@@ -302,20 +302,21 @@
         let chooser = self.chooser(request, now);
         let fits = |(name, b): &(&Upstream, &UpstreamState)| {
             b.routes.contains(&request.route)
-                && b.has_room_for(&request.org, now)
+                && b.has_free_slot_for(&request.org, now)
                 && !b.is_refusing(&request.route, now)
                 && chooser.allows(b, request)
                 && self.may_send_to(request, name, b)
         };
-        let able: Vec<(&Upstream, &UpstreamState)> = self.upstreams.iter().filter(fits).collect();
-        let fresh = |u: &Upstream| !open.tried.contains(u);
-        let untried = able.iter().any(|(u, _)| fresh(u));
-        let of = able.len();
-        let costs = able.iter().enumerate().map(|(i, (name, state))| {
-            let cost = chooser.cost(state, request, i, of);
+        let eligible: Vec<(&Upstream, &UpstreamState)> =
+            self.upstreams.iter().filter(fits).collect();
+        let is_untried = |u: &Upstream| !open.tried.contains(u);
+        let untried = eligible.iter().any(|(u, _)| is_untried(u));
+        let count = eligible.len();
+        let costs = eligible.iter().enumerate().map(|(i, (name, state))| {
+            let cost = chooser.cost(state, request, i, count);
             (*name, cost)
         });
-        let costs = costs.filter(|(name, _)| !untried || fresh(name));
+        let costs = costs.filter(|(name, _)| !untried || is_untried(name));
         let costs: Vec<(&Upstream, f64)> = costs.collect();
         let sample = self.rng.borrow_mut().random();
         let best = sample_by_cost(&costs, self.visibility.unseen_ms, sample)?;
@@ -333,7 +334,7 @@
             return;
         };
         let chooser = self.chooser(&open.request, now);
-        let (work, expected) = (
+        let (prompt_ms, expected) = (
             chooser.prompt_ms(state, &open.request),
             chooser.first_byte_ms(state, &open.request),
         );
@@ -356,13 +357,13 @@
         let send = InFlight {
             org: open.request.org.clone(),
             sent: now,
-            stall: open.request.policy.stall_timeout.map_or_else(
+            stall_timeout: open.request.policy.stall_timeout.map_or_else(
                 || stall_timeout(self.settings.stall_timeout, open.request.due, now),
                 |s| s.0,
             ),
             answered: false,
             urgent: open.request.policy.urgent,
-            work,
+            prompt_ms,
             expected,
         };
         let cost = open.request.cost as f64 / open.request.weight.max(1) as f64;
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -19,11 +19,11 @@
     pub(crate) org: Org,
     pub(crate) sent: Millis,
     /// The time in milliseconds without a first byte after which it counts as hanging.
-    pub(crate) stall: u64,
+    pub(crate) stall_timeout: u64,
     pub(crate) answered: bool,
     pub(crate) urgent: bool,
     /// The time in milliseconds that the upstream needs to read its prompt.
-    pub(crate) work: f64,
+    pub(crate) prompt_ms: f64,
     /// The time in milliseconds to its first byte that was expected when it was sent.
     pub(crate) expected: f64,
 }
@@ -46,7 +46,7 @@
         self.share * 0.5_f64.powf(now.since(self.at) as f64 / FAILURE_HALF_LIFE_MS)
     }
 
-    pub(crate) fn note(&mut self, failed: f64, now: Millis) {
+    pub(crate) fn record(&mut self, failed: f64, now: Millis) {
         let share = self.get(now);
         self.share = share + (failed - share) * FAILURE_STEP;
         self.at = now;
@@ -55,7 +55,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct FairShare {
-    finish: f64,
+    virtual_finish: f64,
     last_used: Millis,
     in_flight: usize,
 }
@@ -71,7 +71,7 @@
 /// One upstream as this daemon sees it.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
-    pub(crate) site: UpstreamInfo,
+    pub(crate) info: UpstreamInfo,
     pub(crate) routes: BTreeSet<Route>,
     pub(crate) load: Load,
     /// The requests that other daemons had there when it reported.
@@ -95,10 +95,10 @@
 }
 
 impl UpstreamState {
-    pub(crate) fn new(site: UpstreamInfo) -> Self {
+    pub(crate) fn new(info: UpstreamInfo) -> Self {
         Self {
-            routes: site.routes.iter().cloned().collect(),
-            site,
+            routes: info.routes.iter().cloned().collect(),
+            info,
             load: Load::default(),
             peer_requests: 0,
             in_flight: BTreeMap::new(),
@@ -119,7 +119,7 @@
 
     /// Resets what was learned about the upstream. Requests in flight end on their own.
     pub(crate) fn reset_learned(&mut self) {
-        let site = self.site.clone();
+        let info = self.info.clone();
         let in_flight = std::mem::take(&mut self.in_flight);
         let fair_shares = std::mem::take(&mut self.fair_shares);
         *self = Self {
@@ -130,7 +130,7 @@
                 slots: self.load.slots,
                 ..Load::default()
             },
-            ..Self::new(site)
+            ..Self::new(info)
         };
     }
 
@@ -150,9 +150,9 @@
         until.is_some_and(|u| now < *u)
     }
 
-    pub(crate) fn set_site(&mut self, site: UpstreamInfo) {
-        self.routes = site.routes.iter().cloned().collect();
-        self.site = site;
+    pub(crate) fn set_info(&mut self, info: UpstreamInfo) {
+        self.routes = info.routes.iter().cloned().collect();
+        self.info = info;
     }
 
     /// Records a report. Requests beyond this daemon's own are those of other daemons.
@@ -171,8 +171,10 @@
 
     /// Returns the uncached tokens of a prompt.
     pub(crate) fn uncached_tokens(&self, request: &RouteRequest) -> f64 {
-        let warm = self.hints.matched(&request.prefix);
-        (warm..request.prefix.len()).map(|i| request.size(i)).sum()
+        let cached_blocks = self.hints.matched(&request.prefix);
+        (cached_blocks..request.prefix.len())
+            .map(|i| request.size(i))
+            .sum()
     }
 
     /// Returns the time in milliseconds until the prompts ahead of a new request are read. The load
@@ -195,8 +197,8 @@
             ..PeerLoad::default()
         };
         for send in open {
-            load.backlog += send.work;
-            load.urgent += if send.urgent { send.work } else { 0.0 };
+            load.backlog += send.prompt_ms;
+            load.urgent += if send.urgent { send.prompt_ms } else { 0.0 };
         }
         load
     }
@@ -219,7 +221,7 @@
     }
 
     /// Returns whether one more request may be sent.
-    pub(crate) fn has_room(&self, now: Millis) -> bool {
+    pub(crate) fn has_free_slot(&self, now: Millis) -> bool {
         if self.is_leaving() && shaleline_types::Safeguard::LeavingStop.active() {
             return false;
         }
@@ -232,15 +234,15 @@
 
     /// Returns whether this organisation may take one more slot. While others use the upstream, a
     /// quarter of the slots stays free of any one organisation.
-    pub(crate) fn has_room_for(&self, org: &Org, now: Millis) -> bool {
-        if !self.has_room(now) {
+    pub(crate) fn has_free_slot_for(&self, org: &Org, now: Millis) -> bool {
+        if !self.has_free_slot(now) {
             return false;
         }
-        let neighbours = self
+        let is_shared = self
             .fair_shares
             .iter()
             .any(|(o, f)| o != org && now.since(f.last_used) < NEIGHBOUR_TIMEOUT_MS);
-        if !neighbours {
+        if !is_shared {
             return true;
         }
         let own = self.fair_shares.get(org).map_or(0, |f| f.in_flight);
@@ -250,33 +252,33 @@
 
     /// Returns the virtual time at which the organisation's next request would start.
     pub(crate) fn virtual_start(&self, org: &Org) -> f64 {
-        self.fair_shares
-            .get(org)
-            .map_or(self.virtual_time, |f| f.finish.max(self.virtual_time))
+        self.fair_shares.get(org).map_or(self.virtual_time, |f| {
+            f.virtual_finish.max(self.virtual_time)
+        })
     }
 
     pub(crate) fn on_send(&mut self, id: RequestId, send: InFlight, cost: f64) {
         let start = self.virtual_start(&send.org);
         self.virtual_time = self.virtual_time.max(start);
-        let fair_shares = self
+        let fair_share = self
             .fair_shares
             .entry(send.org.clone())
             .or_insert(FairShare {
-                finish: start,
+                virtual_finish: start,
                 last_used: send.sent,
                 in_flight: 0,
             });
-        fair_shares.finish = start + cost;
-        fair_shares.last_used = send.sent;
-        fair_shares.in_flight += 1;
+        fair_share.virtual_finish = start + cost;
+        fair_share.last_used = send.sent;
+        fair_share.in_flight += 1;
         self.breaker.on_send();
         self.in_flight.insert(id, send);
     }
 
     pub(crate) fn on_end(&mut self, id: RequestId) -> Option<InFlight> {
         let send = self.in_flight.remove(&id)?;
-        if let Some(fair_shares) = self.fair_shares.get_mut(&send.org) {
-            fair_shares.in_flight = fair_shares.in_flight.saturating_sub(1);
+        if let Some(fair_share) = self.fair_shares.get_mut(&send.org) {
+            fair_share.in_flight = fair_share.in_flight.saturating_sub(1);
         }
         Some(send)
     }
--- a/crates/route/src/view.rs
+++ b/crates/route/src/view.rs
@@ -22,7 +22,7 @@
     pub fn upstreams(&self, now: Millis) -> Vec<UpstreamStats> {
         let one = |(name, state): (&Upstream, &UpstreamState)| UpstreamStats {
             name: name.to_string(),
-            centre: state.site.centre.to_string(),
+            centre: state.info.centre.to_string(),
             routes: state.routes.iter().map(Route::to_string).collect(),
             in_flight: state.in_flight.len(),
             busy: state.busy(),
--- a/crates/route/src/waiting.rs
+++ b/crates/route/src/waiting.rs
@@ -45,7 +45,7 @@
     /// at intervals, the least urgent one.
     pub(crate) fn next_for(&self, upstream: &Upstream, now: Millis) -> Option<RequestId> {
         let state = self.upstreams.get(upstream)?;
-        if !state.has_room(now) {
+        if !state.has_free_slot(now) {
             return None;
         }
         let queues = state.routes.iter().filter_map(|r| self.queues.get(r));
@@ -57,9 +57,9 @@
             let refusing = open.is_some_and(|o| state.is_refusing(&o.request.route, now));
             // After a suspension the deadline may have passed before the next tick fails it.
             let due = open.is_none_or(|o| o.request.due > now);
-            let may_send_to =
+            let may_send =
                 due && open.is_none_or(|o| self.may_send_to(&o.request, upstream, state));
-            in_time && !refusing && state.has_room_for(h.org, now) && may_send_to
+            in_time && !refusing && state.has_free_slot_for(h.org, now) && may_send
         });
         let least_urgent = (state.departures + 1) % LEAST_URGENT_INTERVAL == 0;
         let best = allowed.min_by(|a, b| {
@@ -124,14 +124,15 @@
     /// are repeatable.
     pub(crate) fn reroute_stalled(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         let mut stalled = Vec::new();
-        let working = self
+        let busy = self
             .upstreams
             .iter_mut()
             .filter(|(_, b)| !b.in_flight.is_empty());
-        for (name, state) in working {
-            let quiet = now.since(state.last_byte);
-            let hangs =
-                |f: &InFlight| !f.answered && now.since(f.sent) >= f.stall && quiet >= f.stall;
+        for (name, state) in busy {
+            let silence = now.since(state.last_byte);
+            let hangs = |f: &InFlight| {
+                !f.answered && now.since(f.sent) >= f.stall_timeout && silence >= f.stall_timeout
+            };
             if !state.in_flight.values().any(hangs) {
                 continue;
             }
@@ -164,8 +165,8 @@
             .policy
             .max_attempts
             .unwrap_or(self.settings.max_attempts);
-        let may_move = open.request.repeatable && open.reached < max_attempts;
-        let Some(upstream) = elsewhere.filter(|_| may_move) else {
+        let may_reroute = open.request.repeatable && open.reached < max_attempts;
+        let Some(upstream) = elsewhere.filter(|_| may_reroute) else {
             return;
         };
         let attempt = open.attempt;
