--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -4,15 +4,13 @@
 //! `shaleline_route` decides ([`GrantRequest`], [`Allocator`]); this module finds the allocators and
 //! exchanges the messages between daemons. `docs/ALLOWANCES.md` compares the alternatives.
 
+use crate::OrgRule;
 use crate::dispatch::Ticket;
 use crate::journal::emit;
 use crate::message::{AllowanceReply, Message, Sender};
 use crate::refuse::Refusal;
 use crate::state::Gateway;
-use crate::OrgRule;
-use shaleline_route::{
-    Allocator, Allowance, Credits, GrantRequest, GrantResponse, GrantStep, Tolerance,
-};
+use shaleline_route::{Allocator, Allowance, Credits, GrantRequest, GrantResponse, GrantStep, Tolerance};
 use shaleline_types::{ErrorKind, LogEvent, Millis, Org};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -294,7 +292,7 @@
         };
         let mut allowances = self.allowances.borrow_mut();
         let now = self.now();
-        allowances.allocator.give_back(org, &allowance, amount, now);
+        allowances.allocator.refund(org, &allowance, amount, now);
     }
 
     /// Updates the share of the allowances that this daemon keeps.
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,119 +1,130 @@
-//! The choice among the upstreams that have room.
+//! The choice among the upstreams that have free slots.
 
-use crate::upstream::Back;
+use crate::upstream::UpstreamState;
 use crate::RouteRequest;
 use shaleline_types::{DataCentre, Millis, Upstream};
 
-/// How upstreams are chosen. The others are baselines to measure against.
+/// How upstreams are chosen. All but `Expected` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ChoicePolicy {
-    /// By expected time: own sends over reported load, prefixes, data centre.
+    /// By expected time, from this daemon's sends on top of the reported load, cached prefixes and
+    /// the data centre.
     #[default]
     Expected,
     /// In turn.
     RoundRobin,
-    /// The least reported load, nothing added.
+    /// The least reported load, without this daemon's own sends.
     Reported,
 }
 
-/// What a request there costs in comparison, in milliseconds.
+/// Comparable costs of sending a request to an upstream, in milliseconds.
 const OTHER_CENTRE_MS: f64 = 1.0;
-const FULL_MS: f64 = 400.0;
+const FULL_LOAD_MS: f64 = 400.0;
 
-/// With no more than this part of the pace ahead, a large prompt may be sent: it would not
-/// find less later.
-const ALONE_PART: f64 = 0.1;
+/// A large prompt may be sent where the prompt backlog is at most this fraction of the limit:
+/// waiting would hardly reduce it further.
+const EMPTY_BACKLOG_SHARE: f64 = 0.1;
 
-/// What a failure costs the caller: the time until its own retry.
+/// The cost of a failure to the caller: the time until it retries.
 const FAILURE_MS: f64 = 2_000.0;
 
-/// Draws one of the upstreams by what the request costs there: those that cost least most often,
-/// and none that costs `unseen` more than the best.
+/// Draws an upstream at random, weighted by cost: a cheaper upstream is more likely, and none is
+/// drawn that costs `unseen` more than the cheapest.
 ///
-/// What the other daemons have sent in the last moments is not known yet. Where all of them send
-/// to the upstream that seems best, it gets what was meant for all. So each takes as much of what
-/// comes meanwhile as would bring the costs level.
-pub(crate) fn draw_by_cost<'a>(
+/// What other daemons have sent most recently is not known yet. If all of them sent to the upstream
+/// that looks cheapest, it would be overloaded. Each upstream is therefore drawn in proportion to
+/// the unseen work that would level its cost with the others.
+pub(crate) fn sample_by_cost<'a>(
     costs: &[(&'a Upstream, f64)],
     unseen: f64,
-    draw: f64,
+    sample: f64,
 ) -> Option<&'a Upstream> {
     let by_cost = |a: &&(&Upstream, f64), b: &&(&Upstream, f64)| a.1.total_cmp(&b.1);
-    let (best, least) = costs.iter().min_by(by_cost)?;
-    let weight = |cost: f64| (least + unseen - cost).max(0.0);
-    let all: f64 = costs.iter().map(|(_, c)| weight(*c)).sum();
-    let mut left = draw * all;
+    let (best, min_cost) = costs.iter().min_by(by_cost)?;
+    let weight = |cost: f64| (min_cost + unseen - cost).max(0.0);
+    let total: f64 = costs.iter().map(|(_, c)| weight(*c)).sum();
+    let mut remaining = sample * total;
     for (name, cost) in costs {
-        left -= weight(*cost);
-        if left < 0.0 {
+        remaining -= weight(*cost);
+        if remaining < 0.0 {
             return Some(name);
         }
     }
     Some(best)
 }
 
-/// Weighs upstreams for one request; the lowest value is the best.
+/// Computes the cost of upstreams for one request; the lowest cost is best.
 pub(crate) struct Chooser<'a> {
     pub(crate) choice: ChoicePolicy,
     pub(crate) home: &'a DataCentre,
-    pub(crate) turn: u64,
-    /// What one uncached token costs, in milliseconds.
-    pub(crate) token: f64,
+    pub(crate) send_count: u64,
+    /// The cost of one uncached prompt token, in milliseconds.
+    pub(crate) token_ms: f64,
     /// See [`crate::PeerVisibility::own_share`].
     pub(crate) own_share: f64,
     pub(crate) now: Millis,
 }
 
 impl Chooser<'_> {
-    pub(crate) fn cost(&self, back: &Back, ask: &RouteRequest, index: usize, of: usize) -> f64 {
+    pub(crate) fn cost(
+        &self,
+        state: &UpstreamState,
+        request: &RouteRequest,
+        index: usize,
+        count: usize,
+    ) -> f64 {
         match self.choice {
-            ChoicePolicy::Expected => self.expected(back, ask),
-            ChoicePolicy::Reported => (back.load.running + back.load.waiting) as f64,
+            ChoicePolicy::Expected => self.expected(state, request),
+            ChoicePolicy::Reported => (state.load.running + state.load.waiting) as f64,
             ChoicePolicy::RoundRobin => {
-                let of = of.max(1);
-                ((index + of - (self.turn as usize % of)) % of) as f64
+                let count = count.max(1);
+                ((index + count - (self.send_count as usize % count)) % count) as f64
             }
         }
     }
 
-    /// Whether the request may be sent there at all: one that would wait too long is
-    /// better refused while its caller has time to come back.
-    pub(crate) fn allows(&self, back: &Back, ask: &RouteRequest) -> bool {
-        let most = ask.policy.max_expected;
-        let in_time = most.is_none_or(|m| self.time(back, ask) <= m.0 as f64);
-        in_time && self.keeps_pace(back, ask)
+    /// Returns whether the request may be sent to the upstream. A request that would wait too long
+    /// is better refused while its caller has time to retry.
+    pub(crate) fn allows(&self, state: &UpstreamState, request: &RouteRequest) -> bool {
+        let max_expected = request.policy.max_expected;
+        let in_time = max_expected.is_none_or(|m| self.first_byte_ms(state, request) <= m.0 as f64);
+        in_time && self.fits_backlog(state, request)
     }
 
-    /// Whether the prompt leaves the streams that run there without a long pause.
-    fn keeps_pace(&self, back: &Back, ask: &RouteRequest) -> bool {
-        let Some(pace) = ask.policy.backlog_limit else {
+    /// Returns whether the prompt can be read without a long pause in the streams that run there.
+    fn fits_backlog(&self, state: &UpstreamState, request: &RouteRequest) -> bool {
+        let Some(limit) = request.policy.backlog_limit else {
             return true;
         };
-        let ahead = back.backlog(false, self.now);
-        let pace = pace.0 as f64;
-        let own = back.own_load().backlog;
-        let room = own <= pace * self.own_share;
-        ahead <= pace * ALONE_PART || (room && ahead + self.work(back, ask) <= pace)
+        let backlog = state.backlog(false, self.now);
+        let limit = limit.0 as f64;
+        let own_backlog = state.own_load().backlog;
+        let own_fits = own_backlog <= limit * self.own_share;
+        backlog <= limit * EMPTY_BACKLOG_SHARE
+            || (own_fits && backlog + self.prompt_ms(state, request) <= limit)
     }
 
-    /// The time to the first byte, as far as prompts decide it.
-    pub(crate) fn time(&self, back: &Back, ask: &RouteRequest) -> f64 {
-        back.backlog(ask.policy.urgent, self.now) + self.work(back, ask)
+    /// Returns the expected time to the first byte, as far as prompts determine it.
+    pub(crate) fn first_byte_ms(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
+        state.backlog(request.policy.urgent, self.now) + self.prompt_ms(state, request)
     }
 
-    /// The time that reading the request's own prompt takes there.
-    pub(crate) fn work(&self, back: &Back, ask: &RouteRequest) -> f64 {
-        back.cold(ask) * self.token * back.slowness.get(self.now)
+    /// Returns the time that the upstream needs to read the request's own prompt.
+    pub(crate) fn prompt_ms(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
+        state.uncached_tokens(request) * self.token_ms * state.slowness.get(self.now)
     }
 
-    fn expected(&self, back: &Back, ask: &RouteRequest) -> f64 {
-        let fill = back.busy() as f64 / back.slots() as f64;
-        let far = if back.site.centre == *self.home {
+    fn expected(&self, state: &UpstreamState, request: &RouteRequest) -> f64 {
+        let utilisation = state.busy() as f64 / state.slots() as f64;
+        let centre_cost = if state.info.centre == *self.home {
             0.0
         } else {
             OTHER_CENTRE_MS
         };
-        let failing = back.failures.get(self.now) * FAILURE_MS;
-        self.time(back, ask) + fill * fill * FULL_MS + far + failing
+        let failure_cost = state.failures.get(self.now) * FAILURE_MS;
+        self.first_byte_ms(state, request)
+            + utilisation * utilisation * FULL_LOAD_MS
+            + centre_cost
+            + failure_cost
     }
 }
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -1,126 +1,129 @@
-//! Where a request may go under which upstreams ended.
+//! Restricts where requests with crashes may be sent.
 //!
-//! The load that this answers: a request that ends each upstream which runs it, in several copies
-//! at once, beside innocent ones that were under way when an upstream ended. Three rules bound what
-//! it costs:
+//! The case that matters: a request that crashes each upstream that runs it, sent in several copies
+//! at once, beside innocent requests that were in flight when an upstream crashed. Three rules
+//! bound the cost:
 //!
-//! * The upstreams that ended under a request and those at which it is now are at most
-//!   [`MAX_CRASHES`] together. Further copies join one where it is already, or are refused: with that
-//!   a request ends three upstreams however many copies come before the first one ends.
-//! * A request under which two ended goes only where no other such request is. What ends then
-//!   ended under one of them alone, and a bystander of both is not taken for the third.
-//! * A request under which three ended is not sent any more.
+//! * The upstreams that crashed under a request and those that run it now are at most
+//!   [`MAX_CRASHES`] together. Further copies go to an upstream that runs one already, or are
+//!   refused. A request thus crashes at most three upstreams, however many copies arrive before the
+//!   first crash.
+//! * A request with two crashes goes only where no other such request runs. The next crash then has
+//!   one suspect, and a bystander of both doesn't get a third.
+//! * A request with three crashes is not sent any more.
 
 use crate::crashes::{CrashNote, Crashes, MAX_CRASHES};
-use crate::upstream::Back;
+use crate::upstream::UpstreamState;
 use crate::{RouteAction, RouteRequest, Router};
 use shaleline_types::{
     ErrorKind, Fingerprint, Identity, IncarnationTag, Millis, RequestId, Upstream,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request under which so many upstreams ended runs apart from others of its kind.
-const APART_ENDS: usize = MAX_CRASHES - 1;
+/// The number of crashes from which a request runs isolated from others like it.
+const ISOLATION_CRASHES: usize = MAX_CRASHES - 1;
 
-/// A request of which a copy has ended well so short a time ago is sound: many callers may ask for
-/// the same thing at once, such as the state of a service, and need all its upstreams.
-const SOUND_MS: u64 = 60_000;
+/// A request of which a copy succeeded within this time is harmless: many callers may send the same
+/// request at once, such as a query of a service's state, and need all its upstreams.
+const HARMLESS_MS: u64 = 60_000;
 
-/// The most requests that are remembered as sound.
-const MOST_SOUND: usize = 1_024;
+/// The most requests that are remembered as harmless.
+const MAX_HARMLESS: usize = 1_024;
 
-/// The requests that are open, by what they have in common with other attempts.
+/// The open requests, by the fingerprint that copies have in common.
 #[derive(Debug, Default)]
 pub(crate) struct Copies {
     open: BTreeMap<Fingerprint, BTreeSet<RequestId>>,
-    /// Those of which one copy ended well while others were open, and when.
-    sound: BTreeMap<Fingerprint, Millis>,
+    /// The requests of which one copy succeeded while others were open, with the time.
+    harmless: BTreeMap<Fingerprint, Millis>,
 }
 
 impl Copies {
-    pub(crate) fn insert(&mut self, ask: &RouteRequest) {
-        if let Some(identity) = ask.identity {
+    pub(crate) fn insert(&mut self, request: &RouteRequest) {
+        if let Some(identity) = request.identity {
             let ids = self.open.entry(identity.request).or_default();
-            ids.insert(ask.id);
+            ids.insert(request.id);
         }
     }
 
-    fn note_sound(&mut self, request: Fingerprint, now: Millis) {
-        let several = self.open.get(&request).is_some_and(|ids| ids.len() > 1);
-        if several && self.sound.len() < MOST_SOUND {
-            self.sound.insert(request, now);
+    fn record_harmless(&mut self, fingerprint: Fingerprint, now: Millis) {
+        let several = self.open.get(&fingerprint).is_some_and(|ids| ids.len() > 1);
+        if several && self.harmless.len() < MAX_HARMLESS {
+            self.harmless.insert(fingerprint, now);
         }
     }
 
-    /// Whether no other copy of a request is open.
-    fn is_single(&self, request: &Fingerprint) -> bool {
-        self.open.get(request).is_none_or(|ids| ids.len() == 1)
+    /// Returns whether no other copy of the request is open.
+    fn is_single(&self, fingerprint: &Fingerprint) -> bool {
+        self.open.get(fingerprint).is_none_or(|ids| ids.len() == 1)
     }
 
-    fn is_sound(&self, request: &Fingerprint) -> bool {
-        self.sound.contains_key(request)
+    fn is_harmless(&self, fingerprint: &Fingerprint) -> bool {
+        self.harmless.contains_key(fingerprint)
     }
 
     fn prune(&mut self, now: Millis) {
-        self.sound.retain(|_, at| now.since(*at) < SOUND_MS);
+        self.harmless
+            .retain(|_, sent_to| now.since(*sent_to) < HARMLESS_MS);
     }
 
-    pub(crate) fn remove(&mut self, ask: &RouteRequest) {
-        let Some(identity) = ask.identity else {
+    pub(crate) fn remove(&mut self, request: &RouteRequest) {
+        let Some(identity) = request.identity else {
             return;
         };
         if let Some(ids) = self.open.get_mut(&identity.request) {
-            ids.remove(&ask.id);
+            ids.remove(&request.id);
             if ids.is_empty() {
                 self.open.remove(&identity.request);
             }
         }
     }
 
-    fn of(&self, request: &Fingerprint) -> impl Iterator<Item = &RequestId> {
-        self.open.get(request).into_iter().flatten()
+    fn of(&self, fingerprint: &Fingerprint) -> impl Iterator<Item = &RequestId> {
+        self.open.get(fingerprint).into_iter().flatten()
     }
 }
 
 impl Router {
-    /// What is known of requests under which upstreams ended.
+    /// Returns the known crashes of requests.
     #[must_use]
     pub fn crashes(&self) -> &Crashes {
         &self.crashes
     }
 
-    /// How many upstreams ended under a request.
+    /// Returns the number of crashes of a request.
     #[must_use]
-    pub fn crash_count(&self, ask: &RouteRequest) -> usize {
-        ask.identity
+    pub fn crash_count(&self, request: &RouteRequest) -> usize {
+        request
+            .identity
             .map_or(0, |i| self.crashes.crash_count(&i.request))
     }
 
-    /// What this router found out about such requests since this was asked last.
+    /// Takes the crash notes that were created since the last call.
     pub fn take_crash_notes(&mut self) -> Vec<CrashNote> {
         std::mem::take(&mut self.crash_notes)
     }
 
-    /// Takes in what another daemon found out. Returns those notes that are news.
+    /// Merges another daemon's crash notes. Returns those that contained anything new.
     pub fn merge_crashes(
         &mut self,
         notes: Vec<CrashNote>,
         now: Millis,
         out: &mut Vec<RouteAction>,
     ) -> Vec<CrashNote> {
-        let mut news = Vec::new();
+        let mut new_notes = Vec::new();
         for note in notes {
             if self.crashes.merge(&note, now) {
                 self.stop_blocked(&note.identity.request, out);
-                news.push(note);
+                new_notes.push(note);
             }
         }
-        news
+        new_notes
     }
 
-    /// Forgets what ended under a request: an operator says that it is sound.
-    pub fn clear_crashes(&mut self, request: &Fingerprint, now: Millis) {
-        let note = self.crashes.clear(request, now);
+    /// Clears the crashes of a request that an operator declared harmless.
+    pub fn clear_crashes(&mut self, fingerprint: &Fingerprint, now: Millis) {
+        let note = self.crashes.clear(fingerprint, now);
         self.crash_notes.extend(note);
     }
 
@@ -129,8 +132,8 @@
         self.copies.prune(now);
     }
 
-    /// Notes that an upstream ended under a request.
-    pub(crate) fn note_end(
+    /// Records a crash of an upstream under a request.
+    pub(crate) fn record_crash(
         &mut self,
         identity: Option<Identity>,
         start: IncarnationTag,
@@ -145,37 +148,38 @@
         self.stop_blocked(&identity.request, out);
     }
 
-    /// Notes that a request ended well.
-    pub(crate) fn note_good_end(&mut self, id: RequestId, now: Millis) {
-        let identity = self.open.get(&id).and_then(|o| o.ask.identity);
+    /// Records that a request succeeded.
+    pub(crate) fn record_success(&mut self, id: RequestId, now: Millis) {
+        let identity = self.open.get(&id).and_then(|o| o.request.identity);
         if let Some(identity) = identity {
-            self.copies.note_sound(identity.request, now);
+            self.copies.record_harmless(identity.request, now);
             self.clear_crashes(&identity.request, now);
         }
     }
 
-    /// Whether a request may not be sent any more.
-    pub(crate) fn is_blocked(&self, ask: &RouteRequest) -> bool {
-        self.crash_count(ask) >= MAX_CRASHES
+    /// Returns whether the request may not be sent any more.
+    pub(crate) fn is_blocked(&self, request: &RouteRequest) -> bool {
+        self.crash_count(request) >= MAX_CRASHES
     }
 
-    /// Gives up what is open of a request that may not be sent any more: it may still wait its turn
-    /// at an upstream, which need not end as well.
-    fn stop_blocked(&mut self, request: &Fingerprint, out: &mut Vec<RouteAction>) {
-        if self.crashes.crash_count(request) < MAX_CRASHES {
+    /// Fails all open copies of a blocked request: one may still be queued at an upstream, which it
+    /// need not crash as well.
+    fn stop_blocked(&mut self, fingerprint: &Fingerprint, out: &mut Vec<RouteAction>) {
+        if self.crashes.crash_count(fingerprint) < MAX_CRASHES {
             return;
         }
-        let ids: Vec<RequestId> = self.copies.of(request).copied().collect();
+        let ids: Vec<RequestId> = self.copies.of(fingerprint).copied().collect();
         for id in ids {
             let Some(open) = self.open.get(&id) else {
                 continue;
             };
-            let (ask, at, attempt) = (open.ask.clone(), open.at.clone(), open.attempt);
-            match at {
+            let (request, sent_to, attempt) =
+                (open.request.clone(), open.upstream.clone(), open.attempt);
+            match sent_to {
                 Some(upstream) => {
-                    if let Some(back) = self.backs.get_mut(&upstream) {
-                        back.on_end(id);
-                        back.breaker.on_neutral();
+                    if let Some(state) = self.upstreams.get_mut(&upstream) {
+                        state.on_end(id);
+                        state.breaker.on_inconclusive();
                     }
                     out.push(RouteAction::Cancel {
                         id,
@@ -183,82 +187,99 @@
                         upstream,
                     });
                 }
-                None => self.unqueue(&ask),
+                None => self.dequeue(&request),
             }
-            self.give_up(id, ErrorKind::EndsUpstreams, out);
+            self.fail(id, ErrorKind::EndsUpstreams, out);
         }
     }
 
-    /// The upstreams at which a request is now, in any copy.
-    fn places_of(&self, request: &Fingerprint) -> BTreeSet<&Upstream> {
-        let open = self.copies.of(request).filter_map(|id| self.open.get(id));
-        open.filter_map(|o| o.at.as_ref()).collect()
+    /// Returns the upstreams that run a copy of the request.
+    fn upstreams_of(&self, fingerprint: &Fingerprint) -> BTreeSet<&Upstream> {
+        let open = self
+            .copies
+            .of(fingerprint)
+            .filter_map(|id| self.open.get(id));
+        open.filter_map(|o| o.upstream.as_ref()).collect()
     }
 
-    /// Whether a request may go to an upstream, by what ended under it.
-    pub(crate) fn may_go(&self, ask: &RouteRequest, name: &Upstream, back: &Back) -> bool {
-        let Some(identity) = ask.identity else {
+    /// Returns whether a request may be sent to an upstream, given its crashes.
+    pub(crate) fn may_send_to(
+        &self,
+        request: &RouteRequest,
+        name: &Upstream,
+        state: &UpstreamState,
+    ) -> bool {
+        let Some(identity) = request.identity else {
             return true;
         };
-        let ends = self.crashes.crash_count(&identity.request);
-        if ends >= MAX_CRASHES {
+        let crash_count = self.crashes.crash_count(&identity.request);
+        if crash_count >= MAX_CRASHES {
             return false;
         }
-        let free =
-            self.copies.is_single(&identity.request) || self.copies.is_sound(&identity.request);
-        if ends == 0 && free {
+        let unrestricted =
+            self.copies.is_single(&identity.request) || self.copies.is_harmless(&identity.request);
+        if crash_count == 0 && unrestricted {
             return true;
         }
-        let places = self.places_of(&identity.request);
-        if places.contains(name) {
+        let upstreams = self.upstreams_of(&identity.request);
+        if upstreams.contains(name) {
             return true;
         }
-        ends + places.len() < MAX_CRASHES && (ends < APART_ENDS || self.is_free_of_suspects(back))
+        crash_count + upstreams.len() < MAX_CRASHES
+            && (crash_count < ISOLATION_CRASHES || self.has_no_suspects(state))
     }
 
-    /// Whether no request is at an upstream that must run apart.
-    fn is_free_of_suspects(&self, back: &Back) -> bool {
-        let open = back.flights.keys().filter_map(|id| self.open.get(id));
-        let mut suspects = open.filter(|o| self.crash_count(&o.ask) >= APART_ENDS);
+    /// Returns whether the upstream runs no request that must be isolated.
+    fn has_no_suspects(&self, state: &UpstreamState) -> bool {
+        let open = state.in_flight.keys().filter_map(|id| self.open.get(id));
+        let mut suspects = open.filter(|o| self.crash_count(&o.request) >= ISOLATION_CRASHES);
         suspects.next().is_none()
     }
 
-    /// Whether a request does not wait: it would keep those behind it from being sent, and nobody
-    /// knows when it may go.
-    pub(crate) fn never_waits(&self, ask: &RouteRequest) -> bool {
-        self.crash_count(ask) >= APART_ENDS
+    /// Returns whether the request must not be queued: it would block those behind it, and the time
+    /// when it may be sent is unknown.
+    pub(crate) fn must_not_queue(&self, request: &RouteRequest) -> bool {
+        self.crash_count(request) >= ISOLATION_CRASHES
     }
 
-    /// Refuses what waits first in line and may not go where there is room: others stand behind it.
-    pub(crate) fn refuse_barred(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
+    /// Refuses requests at the head of a queue that no upstream with free slots may run, as they
+    /// block those behind them.
+    pub(crate) fn refuse_unplaceable(&mut self, now: Millis, out: &mut Vec<RouteAction>) {
         let heads = self
             .queues
             .values()
             .flat_map(crate::queue::RouteQueue::heads);
-        let barred = |id: &RequestId| {
-            let ask = self.open.get(id).map(|o| &o.ask);
-            ask.is_some_and(|a| self.is_barred(a, now))
+        let unplaceable = |id: &RequestId| {
+            let request = self.open.get(id).map(|o| &o.request);
+            request.is_some_and(|a| self.is_unplaceable(a, now))
         };
-        let ids: Vec<RequestId> = heads.map(|h| h.id).filter(barred).collect();
+        let ids: Vec<RequestId> = heads.map(|h| h.id).filter(unplaceable).collect();
         for id in ids {
-            let Some(ask) = self.open.get(&id).map(|o| o.ask.clone()) else {
+            let Some(request) = self.open.get(&id).map(|o| o.request.clone()) else {
                 continue;
             };
-            self.unqueue(&ask);
-            self.give_up(id, ErrorKind::NoUpstream, out);
+            self.dequeue(&request);
+            self.fail(id, ErrorKind::NoUpstream, out);
         }
     }
 
-    fn is_barred(&self, ask: &RouteRequest, now: Millis) -> bool {
-        let Some(identity) = ask.identity else {
+    fn is_unplaceable(&self, request: &RouteRequest, now: Millis) -> bool {
+        let Some(identity) = request.identity else {
             return false;
         };
-        let ends = self.crashes.crash_count(&identity.request);
-        if ends == 0 && self.copies.of(&identity.request).nth(MAX_CRASHES).is_none() {
+        let crash_count = self.crashes.crash_count(&identity.request);
+        if crash_count == 0 && self.copies.of(&identity.request).nth(MAX_CRASHES).is_none() {
             return false;
         }
-        let roomy = |b: &Back| b.routes.contains(&ask.route) && b.has_room_for(&ask.org, now);
-        let mut with_room = self.backs.iter().filter(|(_, b)| roomy(b)).peekable();
-        with_room.peek().is_some() && !with_room.any(|(name, back)| self.may_go(ask, name, back))
+        let has_slot = |b: &UpstreamState| {
+            b.routes.contains(&request.route) && b.has_free_slot_for(&request.org, now)
+        };
+        let mut with_free_slots = self
+            .upstreams
+            .iter()
+            .filter(|(_, b)| has_slot(b))
+            .peekable();
+        with_free_slots.peek().is_some()
+            && !with_free_slots.any(|(name, state)| self.may_send_to(request, name, state))
     }
 }
--- a/crates/route/src/limit.rs
+++ b/crates/route/src/limit.rs
@@ -1,40 +1,40 @@
-//! An organisation's limits, as far as this daemon may use them.
+//! An organisation's limits and its use of this daemon's share of them.
 
 use crate::bucket::Bucket;
 use crate::ShareBook;
 use shaleline_types::{Millis, Org};
 use std::collections::BTreeMap;
 
-/// How much of a second's allowance may be used at once.
+/// The duration whose rate may be used at once.
 const BURST_MS: f64 = 1_000.0;
 
-/// What an organisation may use over all daemons.
+/// An organisation's limits over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u64,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrency: u64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: u64,
 }
 
-/// Which limit stood in the way.
+/// The kind of limit that a request exceeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Rate,
-    /// Requests at once.
+    /// Concurrent requests.
     Concurrency,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
 }
 
 impl LimitKind {
-    /// Every limit.
+    /// All kinds of limits.
     pub const ALL: [Self; 3] = [Self::Rate, Self::Concurrency, Self::Tokens];
 
-    /// The word for it between daemons.
+    /// Returns the name used between daemons.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -46,7 +46,7 @@
 }
 
 impl Limits {
-    /// The value of one limit.
+    /// Returns the limit of this kind.
     #[must_use]
     pub fn get(&self, kind: LimitKind) -> u64 {
         match kind {
@@ -58,31 +58,31 @@
 }
 
 fn refill(bucket: &mut Bucket, rate: u64, now: Millis) {
-    let most = (rate as f64 * BURST_MS / 1_000.0).max(1.0);
-    bucket.refill(rate as f64, most, now);
+    let capacity = (rate as f64 * BURST_MS / 1_000.0).max(1.0);
+    bucket.refill(rate as f64, capacity, now);
 }
 
-/// How long until one more is admitted.
+/// Returns the time until one more request is admitted.
 fn wait(bucket: &Bucket, rate: u64) -> Millis {
     let wait = bucket.wait(1.0, rate.max(1) as f64);
-    wait.expect("something comes in")
+    wait.expect("the refill rate is positive")
 }
 
 #[derive(Debug)]
-struct Use {
+struct Usage {
     rate: Bucket,
     tokens: Bucket,
     running: u64,
 }
 
-/// What each organisation has used at this daemon.
+/// The use of each organisation at this daemon.
 #[derive(Debug, Default)]
 pub(crate) struct Limiter {
-    orgs: BTreeMap<Org, Use>,
+    orgs: BTreeMap<Org, Usage>,
 }
 
 impl Limiter {
-    /// Admits a request, or says which limit stands in the way and for how long.
+    /// Admits a request, or returns the limit that it exceeds and the retry-after time.
     pub(crate) fn admit(
         &mut self,
         org: &Org,
@@ -90,53 +90,53 @@
         shares: &ShareBook,
         now: Millis,
     ) -> Result<(), (LimitKind, Millis)> {
-        let part = |kind| shares.share(org, kind, limits.get(kind), now);
-        let (rate, tokens, most) = (
-            part(LimitKind::Rate),
-            part(LimitKind::Tokens),
-            part(LimitKind::Concurrency),
+        let share = |kind| shares.share(org, kind, limits.get(kind), now);
+        let (rate, tokens, max_running) = (
+            share(LimitKind::Rate),
+            share(LimitKind::Tokens),
+            share(LimitKind::Concurrency),
         );
-        // An answer's length is not known beforehand: it is charged when it ends, and the next
-        // request waits.
+        // The length of an answer is not known in advance: it is charged when the answer ends, and
+        // delays the next request.
         let full = |rate: u64| Bucket::new(rate as f64, now);
-        let fresh = || Use {
+        let fresh = || Usage {
             rate: full(rate),
             tokens: full(tokens),
             running: 0,
         };
-        let used = self.orgs.entry(org.clone()).or_insert_with(fresh);
-        refill(&mut used.rate, rate, now);
-        refill(&mut used.tokens, tokens, now);
-        if used.running >= most {
+        let usage = self.orgs.entry(org.clone()).or_insert_with(fresh);
+        refill(&mut usage.rate, rate, now);
+        refill(&mut usage.tokens, tokens, now);
+        if usage.running >= max_running {
             return Err((LimitKind::Concurrency, Millis(200)));
         }
-        if rate == 0 || used.rate.level() < 1.0 {
-            return Err((LimitKind::Rate, wait(&used.rate, rate)));
+        if rate == 0 || usage.rate.level() < 1.0 {
+            return Err((LimitKind::Rate, wait(&usage.rate, rate)));
         }
-        if tokens == 0 || used.tokens.level() < 1.0 {
-            return Err((LimitKind::Tokens, wait(&used.tokens, tokens)));
+        if tokens == 0 || usage.tokens.level() < 1.0 {
+            return Err((LimitKind::Tokens, wait(&usage.tokens, tokens)));
         }
-        used.rate.take(1.0);
-        used.running += 1;
+        usage.rate.take(1.0);
+        usage.running += 1;
         Ok(())
     }
 
-    /// Charges what an answer cost and frees its place.
+    /// Charges the cost of an answer and frees its slot.
     pub(crate) fn finish(&mut self, org: &Org, tokens: u64) {
-        if let Some(used) = self.orgs.get_mut(org) {
-            used.tokens.take(tokens as f64);
-            used.running = used.running.saturating_sub(1);
+        if let Some(usage) = self.orgs.get_mut(org) {
+            usage.tokens.take(tokens as f64);
+            usage.running = usage.running.saturating_sub(1);
         }
     }
 
-    /// How many requests of the organisation are admitted and not ended.
+    /// Returns the number of the organisation's requests that are admitted and have not ended.
     pub(crate) fn running(&self, org: &Org) -> u64 {
         self.orgs.get(org).map_or(0, |u| u.running)
     }
 
-    /// Forgets organisations with nothing running that have been quiet for a while.
+    /// Drops organisations that have nothing running and were idle for a minute.
     pub(crate) fn prune(&mut self, now: Millis) {
-        let quiet = |u: &Use| u.running == 0 && now.since(u.rate.last()) > 60_000;
+        let quiet = |u: &Usage| u.running == 0 && now.since(u.rate.last()) > 60_000;
         self.orgs.retain(|_, u| !quiet(u));
     }
 }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -1,16 +1,16 @@
-//! What waits for a route: urgent work first, then by organisation.
+//! The queue of a route: by priority, then by organisation.
 
 use shaleline_types::{Millis, Org, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One waiting request.
+/// A request in the queue.
 #[derive(Debug, Clone)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) id: RequestId,
     pub(crate) due: Millis,
 }
 
-/// The head of one organisation's line.
+/// The first request of one organisation's queue.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Head<'a> {
     pub(crate) priority: u8,
@@ -18,13 +18,13 @@
     pub(crate) id: RequestId,
 }
 
-/// The lines of one route.
+/// The queues of one route, by priority and organisation.
 #[derive(Debug, Default)]
 pub(crate) struct RouteQueue {
-    lines: BTreeMap<(u8, Org), VecDeque<Waiting>>,
+    subqueues: BTreeMap<(u8, Org), VecDeque<QueuedRequest>>,
     len: usize,
-    /// The mean time between two departures while something waited.
-    interval: Option<f64>,
+    /// The mean time between two departures while requests were queued.
+    mean_interval: Option<f64>,
     last_departure: Option<Millis>,
 }
 
@@ -37,8 +37,8 @@
         self.len == 0
     }
 
-    pub(crate) fn push(&mut self, priority: u8, org: &Org, waiting: Waiting, first: bool) {
-        let line = self.lines.entry((priority, org.clone())).or_default();
+    pub(crate) fn push(&mut self, priority: u8, org: &Org, waiting: QueuedRequest, first: bool) {
+        let line = self.subqueues.entry((priority, org.clone())).or_default();
         if first {
             line.push_front(waiting);
         } else {
@@ -47,10 +47,10 @@
         self.len += 1;
     }
 
-    /// The head of every line, of all classes: the most urgent may have no place left for
-    /// its organisation, and then others come.
+    /// Returns the first request of every organisation and priority: where an organisation with
+    /// urgent requests has no slots left, the others come next.
     pub(crate) fn heads(&self) -> impl Iterator<Item = Head<'_>> {
-        self.lines.iter().filter_map(|((priority, org), line)| {
+        self.subqueues.iter().filter_map(|((priority, org), line)| {
             let id = line.front()?.id;
             Some(Head {
                 priority: *priority,
@@ -60,14 +60,14 @@
         })
     }
 
-    /// How many wait that would be served before a new request of this class, counting
-    /// only a fair share of each other organisation's line.
+    /// Returns how many queued requests would be served before a new one of this priority, counting
+    /// only a fair share of each other organisation's queue.
     pub(crate) fn ahead(&self, priority: u8, org: &Org) -> usize {
         let own = self
-            .lines
+            .subqueues
             .get(&(priority, org.clone()))
             .map_or(0, VecDeque::len);
-        let before = |((p, o), line): (&(u8, Org), &VecDeque<Waiting>)| {
+        let before = |((p, o), line): (&(u8, Org), &VecDeque<QueuedRequest>)| {
             if *p < priority {
                 line.len()
             } else if *p == priority && o != org {
@@ -76,12 +76,12 @@
                 0
             }
         };
-        own + self.lines.iter().map(before).sum::<usize>()
+        own + self.subqueues.iter().map(before).sum::<usize>()
     }
 
     pub(crate) fn remove(&mut self, priority: u8, org: &Org, id: RequestId) -> bool {
         let key = (priority, org.clone());
-        let Some(line) = self.lines.get_mut(&key) else {
+        let Some(line) = self.subqueues.get_mut(&key) else {
             return false;
         };
         let Some(index) = line.iter().position(|w| w.id == id) else {
@@ -93,37 +93,37 @@
             self.last_departure = None;
         }
         if line.is_empty() {
-            self.lines.remove(&key);
+            self.subqueues.remove(&key);
         }
         true
     }
 
-    /// Notes that a request left for an upstream.
+    /// Records that a request was sent to an upstream.
     pub(crate) fn on_departure(&mut self, now: Millis) {
         if let Some(last) = self.last_departure {
             let gap = now.since(last) as f64;
-            let mean = self.interval.map_or(gap, |m| m * 0.9 + gap * 0.1);
-            self.interval = Some(mean);
+            let mean = self.mean_interval.map_or(gap, |m| m * 0.9 + gap * 0.1);
+            self.mean_interval = Some(mean);
         }
         self.last_departure = (!self.is_empty()).then_some(now);
     }
 
-    /// How long a request with so many ahead of it will wait, as far as is known.
+    /// Returns the expected wait of a request with `ahead` requests before it, if known.
     pub(crate) fn expected_wait(&self, ahead: usize, now: Millis) -> Option<Millis> {
-        let mean = self.interval?;
+        let mean = self.mean_interval?;
         let silent = self.last_departure.map_or(0, |l| now.since(l)) as f64;
         let mean = if ahead > 0 { mean.max(silent) } else { mean };
         Some(Millis((mean * (ahead + 1) as f64) as u64))
     }
 
-    /// The requests whose time to start has passed.
+    /// Returns the requests that are past their latest start.
     pub(crate) fn overdue(&self, now: Millis) -> Vec<RequestId> {
-        let waiting = self.lines.values().flatten();
+        let waiting = self.subqueues.values().flatten();
         waiting.filter(|w| w.due <= now).map(|w| w.id).collect()
     }
 
-    /// All that wait.
+    /// Returns all queued requests.
     pub(crate) fn ids(&self) -> Vec<RequestId> {
-        self.lines.values().flatten().map(|w| w.id).collect()
+        self.subqueues.values().flatten().map(|w| w.id).collect()
     }
 }
