--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -4,13 +4,15 @@
 //! `shaleline_route` decides ([`GrantRequest`], [`Allocator`]); this module finds the allocators and
 //! exchanges the messages between daemons. `docs/ALLOWANCES.md` compares the alternatives.
 
-use crate::OrgRule;
 use crate::dispatch::Ticket;
 use crate::journal::emit;
 use crate::message::{AllowanceReply, Message, Sender};
 use crate::refuse::Refusal;
 use crate::state::Gateway;
-use shaleline_route::{Allocator, Allowance, Credits, GrantRequest, GrantResponse, GrantStep, Tolerance};
+use crate::OrgRule;
+use shaleline_route::{
+    Allocator, Allowance, Credits, GrantRequest, GrantResponse, GrantStep, Tolerance,
+};
 use shaleline_types::{ErrorKind, LogEvent, Millis, Org};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,15 +1,15 @@
 //! Gives orders to engines and checks their results.
 
-use bytes::Bytes;
-use crate::Call;
 use crate::attempt::idle_timeout;
 use crate::journal::emit;
 use crate::message::PlannerUpdate;
 use crate::planner::PlannerState;
 use crate::state::Gateway;
+use crate::Call;
+use bytes::Bytes;
 use http_body_util::Full;
+use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, StatusCode};
-use hyper::header::{HOST, HeaderValue};
 use shaleline_fleet::{Held, Order, OrderKind, OrderReply};
 use shaleline_types::{LogEvent, Millis, Service, Upstream};
 use std::rc::Rc;
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,7 +1,10 @@
 //! The events that the router takes and the actions it returns.
 
-use crate::{BLOCK_TOKENS, Limits};
-use shaleline_types::{Adapter, DataCentre, ErrorKind, Identity, IncarnationTag, Millis, Model, Org, RequestId, Service, Upstream};
+use crate::{Limits, BLOCK_TOKENS};
+use shaleline_types::{
+    Adapter, DataCentre, ErrorKind, Identity, IncarnationTag, Millis, Model, Org, RequestId,
+    Service, Upstream,
+};
 use std::fmt;
 
 /// The number of a send of one request, from 1.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,16 +1,19 @@
 //! The router's core: admission and dispatch. The module `ending` handles how sends end, and
 //! `waiting` handles requests that wait or hang.
 
-use crate::{AttemptNumber, CrashNote, Crashes, LimitKind, Limits, PeerVisibility, RetrySettings, Route, RouteAction, RouteEvent, RouteRequest, RouterSettings, RouterStats, ShareBook, UpstreamInfo};
-use crate::choose::{Chooser, sample_by_cost};
+use crate::choose::{sample_by_cost, Chooser};
 use crate::estimate::TokenCosts;
 use crate::isolation::Copies;
 use crate::limit::Limiter;
 use crate::queue::{QueuedRequest, RouteQueue};
 use crate::retry::RetryBudget;
 use crate::upstream::{InFlight, UpstreamState};
-use rand::{Rng, SeedableRng};
+use crate::{
+    AttemptNumber, CrashNote, Crashes, LimitKind, Limits, PeerVisibility, RetrySettings, Route,
+    RouteAction, RouteEvent, RouteRequest, RouterSettings, RouterStats, ShareBook, UpstreamInfo,
+};
 use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
 use shaleline_types::{ErrorKind, Millis, Org, RequestId, Safeguard, Upstream};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -1,9 +1,9 @@
 //! The router's state of one upstream.
 
-use crate::{Load, PeerLoad, Route, RouteRequest, UpstreamInfo};
 use crate::breaker::{Breaker, BreakerState};
 use crate::estimate::Slowness;
 use crate::prefix::PrefixHints;
+use crate::{Load, PeerLoad, Route, RouteRequest, UpstreamInfo};
 use shaleline_types::{Millis, Org, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
