--- a/crates/gateway/tests/unit/catalogue/cluster.rs
+++ b/crates/gateway/tests/unit/catalogue/cluster.rs
@@ -43,8 +43,8 @@
 /// The interval at which a daemon checks its planner lease and its requests.
 const DAEMON_TICK_MS: u64 = 100;
 
-/// The interval at which engines write their entries, and the bounds of the delay until daemons read
-/// them.
+/// The interval at which engines write their entries, and the bounds of the delay until daemons
+/// read them.
 const ENTRY_INTERVAL_MS: u64 = 1_200;
 const READ_DELAY_MS: (u64, u64) = (50, 900);
 
@@ -661,10 +661,10 @@
 /// The number of rates in a datagram.
 fn rates_in(message: &Message) -> usize {
     match message {
-        Message::Load(report) => report.demand.rates.len(),
-        Message::CentreLoad(report)
-        | Message::ForwardedLoad(report)
-        | Message::TotalLoad(report) => report.load.demand.rates.len(),
+        Message::Load(load) => load.demand.rates.len(),
+        Message::CentreLoad(load) | Message::ForwardedLoad(load) | Message::TotalLoad(load) => {
+            load.load.demand.rates.len()
+        }
         _ => 0,
     }
 }
--- a/crates/gateway/tests/unit/catalogue/engines.rs
+++ b/crates/gateway/tests/unit/catalogue/engines.rs
@@ -87,8 +87,8 @@
 }
 
 impl Engines {
-    /// Creates engines that hold each model once, and the first models again where there is room; no
-    /// adapter is held.
+    /// Creates engines that hold each model once, and the first models again where there is room;
+    /// no adapter is held.
     pub fn new(engines: usize, models: usize, adapters: usize, rate: f64) -> Self {
         let mut models_by_slot = (0..models).chain((0..models).cycle());
         let mut all = BTreeMap::new();
--- a/crates/gateway/tests/unit/catalogue/main.rs
+++ b/crates/gateway/tests/unit/catalogue/main.rs
@@ -5,17 +5,17 @@
 //!
 //! Sequence: a daemon that was among the first to start took the planner lease. The other daemons
 //! took another daemon for the hub of its data centre, so it received none of their reports. It
-//! renewed its lease in the store for 26 s of traffic and sent twelve orders, for the requests of its
-//! own callers. When it fell silent, its successor sent 323 orders in one second; by then the demand
-//! had changed.
+//! renewed its lease in the store for 26 s of traffic and sent twelve orders, for the requests of
+//! its own callers. When it fell silent, its successor sent 323 orders in one second; by then the
+//! demand had changed.
 //!
 //! Cause: the lease depends on the store, and the known demand on the reports of other daemons, but
 //! nothing connected the two. Missing reports were taken for missing demand. In addition, unmet
 //! demand was forgotten within seconds while no engine could take orders.
 //!
 //! Evidence: one lease without a break, no model recorded as away, and orders only for requests of
-//! the planner's own callers; with a planner cut off in this simulation, two thirds of the catalogue
-//! stay unserved.
+//! the planner's own callers; with a planner cut off in this simulation, two thirds of the
+//! catalogue stay unserved.
 
 mod cluster;
 mod engines;
@@ -55,8 +55,8 @@
 const RUN_MS: u64 = 40_000;
 
 /// The maximum wait for a model or adapter after the last fault: another daemon takes the planner
-/// lease within six seconds, an engine may be busy with a load of nine seconds, and the load that is
-/// needed takes nine more.
+/// lease within six seconds, an engine may be busy with a load of nine seconds, and the load that
+/// is needed takes nine more.
 const MAX_WAIT_MS: u64 = 25_000;
 
 /// The number of worst cases that are printed.
--- a/crates/gateway/tests/unit/choosing.rs
+++ b/crates/gateway/tests/unit/choosing.rs
@@ -2,8 +2,8 @@
 //!
 //! The tests guard against bursts of requests: when each daemon selected upstreams by load reports
 //! that were some 450 ms old, while a slot of an upstream is freed every 30 ms, all daemons sent to
-//! the upstream that had been free, up to 41 requests in 100 ms to one upstream and none to another.
-//! At a third of the capacity, one request in nine was rejected and one in five was late.
+//! the upstream that had been free, up to 41 requests in 100 ms to one upstream and none to
+//! another. At a third of the capacity, one request in nine was rejected and one in five was late.
 
 use crate::dispatch::{Answer, DelegatedRequests, EndNote, ProgressNote, Step, Ticket};
 use crate::job::{org, LIMITS};
--- a/crates/gateway/tests/unit/crashes/cluster.rs
+++ b/crates/gateway/tests/unit/crashes/cluster.rs
@@ -295,8 +295,8 @@
         self.rng.random_range(0..of)
     }
 
-    /// The daemon that selects upstreams for the others, as seen by the first live daemon that knows a
-    /// hub.
+    /// The daemon that selects upstreams for the others, as seen by the first live daemon that
+    /// knows a hub.
     pub fn selector(&self) -> usize {
         let now = self.daemons[0].gw.now();
         let selector_of = |d: &Daemon| match d.gw.mesh.borrow_mut().chooser("svc", |_| true, now) {
--- a/crates/gateway/tests/unit/crashes/main.rs
+++ b/crates/gateway/tests/unit/crashes/main.rs
@@ -1,12 +1,12 @@
 //! Tests that a request that crashes upstreams is blocked after few crashes.
 //!
-//! Symptom: within ten seconds 11 engines crashed, each with up to 18 responses in progress, and the
-//! models that they held became unavailable; later 13 more engines crashed.
+//! Symptom: within ten seconds 11 engines crashed, each with up to 18 responses in progress, and
+//! the models that they held became unavailable; later 13 more engines crashed.
 //!
-//! Sequence: a request started to run and its engine crashed 30 to 110 ms later. Its caller received
-//! a 502 and retried at another daemon under another request id. That daemon knew nothing of the
-//! first attempt and sent the request to the next engine, until no engine served the model. When the
-//! engines had restarted and loaded the model, the crashes went on.
+//! Sequence: a request started to run and its engine crashed 30 to 110 ms later. Its caller
+//! received a 502 and retried at another daemon under another request id. That daemon knew nothing
+//! of the first attempt and sent the request to the next engine, until no engine served the model.
+//! When the engines had restarted and loaded the model, the crashes went on.
 //!
 //! Cause: failures were attributed to the engine alone. No daemon recognised the retries of a
 //! request, so none detected that the same request had been running on each engine that crashed.
@@ -34,7 +34,8 @@
 /// The maximum delay between a response and the next attempt.
 const MAX_RETRY_DELAY_MS: u64 = 400;
 
-/// Sends copies of the fatal request to random daemons and returns the delay before the next copies.
+/// Sends copies of the fatal request to random daemons and returns the delay before the next
+/// copies.
 fn send_copies(cluster: &mut Cluster, copies: usize, seed: u64) -> u64 {
     for _ in 0..copies {
         let daemon = cluster.any_daemon();
@@ -43,8 +44,8 @@
     1 + (seed * 97 + cluster.now()) % MAX_RETRY_DELAY_MS
 }
 
-/// A fatal request that is retried at random daemons, in `copies` concurrent copies, crashes no more
-/// upstreams than allowed.
+/// A fatal request that is retried at random daemons, in `copies` concurrent copies, crashes no
+/// more upstreams than allowed.
 fn few_upstreams_crash((daemons, copies, seed): (usize, usize, u64)) -> bool {
     let mut cluster = Cluster::new(daemons, 12, seed);
     let mut open = 0;
@@ -187,10 +188,10 @@
     assert_eq!(cluster.fatal_crashes, MAX_FATAL_CRASHES);
 }
 
-/// Bounds the datagrams per daemon, and the bytes per datagram, that inform all daemons of a request
-/// until it is blocked after three crashes, and for one second more. With three seeds each and one
-/// datagram of forty lost, they are 39 to 44 datagrams and 2,269 to 2,712 bytes at 9 daemons, 110 to
-/// 144 and 6,752 to 8,623 at 30, 612 to 1,246 and 34,114 to 73,946 at 295.
+/// Bounds the datagrams per daemon, and the bytes per datagram, that inform all daemons of a
+/// request until it is blocked after three crashes, and for one second more. With three seeds each
+/// and one datagram of forty lost, they are 39 to 44 datagrams and 2,269 to 2,712 bytes at 9
+/// daemons, 110 to 144 and 6,752 to 8,623 at 30, 612 to 1,246 and 34,114 to 73,946 at 295.
 fn crash_reports_are_cheap(daemons: usize) -> bool {
     const MAX_DATAGRAMS: usize = 5;
     const MAX_BYTES: usize = 100;
@@ -346,13 +347,13 @@
     every
 }
 
-/// Bounds the effect on harmless requests: of a thousand, at least this many are served, and at most
-/// this many are refused as blocked.
+/// Bounds the effect on harmless requests: of a thousand, at least this many are served, and at
+/// most this many are refused as blocked.
 ///
-/// Of 12,000 requests in ten runs of each pattern, with blocking and without it: all are served where
-/// one upstream of twelve crashes each second, 11,443 and 11,685 where one crashes every 300 ms, all
-/// where half of them crash every four seconds. If two crashes were enough to block a request,
-/// 11,970, 10,375 and 11,086 would be served.
+/// Of 12,000 requests in ten runs of each pattern, with blocking and without it: all are served
+/// where one upstream of twelve crashes each second, 11,443 and 11,685 where one crashes every 300
+/// ms, all where half of them crash every four seconds. If two crashes were enough to block a
+/// request, 11,970, 10,375 and 11,086 would be served.
 fn harmless_requests_are_served(case: (Crashes, u64, usize, usize)) -> bool {
     let (crashes, seed, min_served, max_blocked) = case;
     let result = run_with_crashes(crashes, seed);
--- a/crates/gateway/tests/unit/mesh.rs
+++ b/crates/gateway/tests/unit/mesh.rs
@@ -28,7 +28,7 @@
     SocketAddr::from(([10, 0, 0, index], 7_000))
 }
 
-fn upstream_tag() -> Tag {
+fn tag() -> Tag {
     Tag::of_upstream(&Upstream::from_text("i-1").expect("a valid name"))
 }
 
@@ -68,7 +68,7 @@
         let own_load = LoadReport {
             daemons: 1,
             upstreams: BTreeMap::from([(
-                upstream_tag(),
+                tag(),
                 UpstreamLoad {
                     running: 1,
                     ..UpstreamLoad::default()
@@ -134,11 +134,7 @@
     /// The distinct loads of the other daemons at the upstream, as each daemon knows them.
     fn known_loads(&self) -> BTreeSet<u32> {
         let alive = self.daemons.iter().filter(|(a, _)| !self.down.contains(a));
-        let others = |m: &Membership| {
-            m.other_loads(self.now)
-                .get(&upstream_tag())
-                .map_or(0, |n| n.running)
-        };
+        let others = |m: &Membership| m.other_loads(self.now).get(&tag()).map_or(0, |n| n.running);
         alive.map(|(_, (_, m))| others(m)).collect()
     }
 }
@@ -200,8 +196,8 @@
 }
 
 /// Guards against shares that add up to more than the whole: two sides of a data centre that
-/// received nothing from each other for minutes, while both reached the store, forgot each other and
-/// each kept the full share of the data centre, so that an organisation exceeded its allowance.
+/// received nothing from each other for minutes, while both reached the store, forgot each other
+/// and each kept the full share of the data centre, so that an organisation exceeded its allowance.
 #[test]
 fn a_data_centre_that_stays_split_keeps_no_more_than_its_share() {
     let mut cluster = Cluster::new(20);
@@ -222,7 +218,7 @@
         let (_, membership) = &cluster.daemons[&daemon];
         membership
             .other_loads(cluster.now)
-            .get(&upstream_tag())
+            .get(&tag())
             .map_or(0, |n| n.running)
     };
     assert_eq!(loads(&cluster), 19);
@@ -349,8 +345,8 @@
     assert_eq!(cluster.known_loads(), BTreeSet::from([0]));
 }
 
-/// Guards against unneeded reads of the store: at the start of a large deployment, most daemons took
-/// their own first total for the total of a hub and read the store.
+/// Guards against unneeded reads of the store: at the start of a large deployment, most daemons
+/// took their own first total for the total of a hub and read the store.
 #[test]
 fn a_single_daemon_has_no_hub_contact() {
     let mut membership = Membership::new(sender(1, 1, 0));
--- a/crates/gateway/tests/unit/ready.rs
+++ b/crates/gateway/tests/unit/ready.rs
@@ -86,8 +86,8 @@
     }
 }
 
-/// When the store answers a read that was requested at this time: at the first change, or at the end
-/// of the wait.
+/// When the store answers a read that was requested at this time: at the first change, or at the
+/// end of the wait.
 fn answered_at(requested: Millis, next: Option<&Millis>) -> Millis {
     let end = requested.plus(READ_WAIT_MS);
     next.map_or(end, |change| (*change).max(requested).min(end))
--- a/crates/gateway/tests/unit/start.rs
+++ b/crates/gateway/tests/unit/start.rs
@@ -16,8 +16,8 @@
 const START_MS: u64 = 1_000_000;
 const STEP_MS: u64 = 10;
 
-/// The size of the largest deployment: its data centres, its daemons, and the strong daemons of each
-/// data centre.
+/// The size of the largest deployment: its data centres, its daemons, and the strong daemons of
+/// each data centre.
 const CENTRES: usize = 5;
 const DAEMONS: usize = 295;
 const STRONG: usize = 3;
