--- a/crates/gateway/tests/unit/catalogue/main.rs
+++ b/crates/gateway/tests/unit/catalogue/main.rs
@@ -173,8 +173,8 @@
 fn engines_end((size, seed): (Size, u64)) -> bool {
     let mut cluster = Cluster::new(size, seed);
     cluster.run(6_000);
-    let ended: Vec<usize> = (0..size.engines).step_by(4).collect();
-    for number in &ended {
+    let crashed: Vec<usize> = (0..size.engines).step_by(4).collect();
+    for number in &crashed {
         cluster.engines.end(&engine(*number));
     }
     let planner = cluster.planner().expect("a daemon holds the planner lease");
@@ -182,7 +182,7 @@
     cluster.run(2_000);
     cluster.start_daemon(planner);
     let now = cluster.now();
-    for number in &ended {
+    for number in &crashed {
         cluster.engines.start(&engine(*number), now);
     }
     cluster.counted_from = now;
--- a/crates/gateway/tests/unit/crashes/cluster/servers.rs
+++ b/crates/gateway/tests/unit/crashes/cluster/servers.rs
@@ -105,7 +105,7 @@
         found.collect()
     }
 
-    /// Restarts the crashed upstreams whose time has come, every second one under a new name.
+    /// Restarts the crashed upstreams whose restart is due, every second one under a new name.
     pub(super) fn restart_due(&mut self) {
         let now = self.now();
         let due: Vec<usize> = self
