--- a/crates/daemon/src/bin/shalelined.rs
+++ b/crates/daemon/src/bin/shalelined.rs
@@ -7,7 +7,7 @@
 use eyre::{Result, WrapErr};
 use shaleline_daemon::{start_logging, Daemon, Settings};
 use shaleline_gateway::{start, start_journal, Platform, Running};
-use shaleline_platform::{NodeFile, PlatformCodec, PlatformStore, StoreSettings, NODE_FILE};
+use shaleline_platform::{NodeFile, PlatformCodec, PlatformStore, StoreSettings, NODE_FILE_VAR};
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -24,7 +24,7 @@
         print!("{}", Settings::usage());
         return ExitCode::SUCCESS;
     }
-    if let (true, Ok(path)) = (args.is_empty(), std::env::var(NODE_FILE)) {
+    if let (true, Ok(path)) = (args.is_empty(), std::env::var(NODE_FILE_VAR)) {
         return to_code(read_node(&path), |node| run_on_platform(node, &path));
     }
     let variables: BTreeMap<String, String> = std::env::vars().collect();
