--- a/crates/gateway/src/allowance.rs
+++ b/crates/gateway/src/allowance.rs
@@ -1,12 +1,12 @@
 //! Charges requests to their organisations' allowances, and grants from the share that this daemon
 //! keeps.
 //!
-//! `shaleline_route` decides ([`GrantRequest`], [`Allocator`]); this module finds the allocators and
-//! exchanges the messages between daemons. `docs/ALLOWANCES.md` compares the alternatives.
+//! `shaleline_route` decides ([`GrantRequest`], [`Allocator`]); this module finds the allocators
+//! and exchanges the messages between daemons. `docs/ALLOWANCES.md` compares the alternatives.
 
 use crate::dispatch::Ticket;
 use crate::journal::emit;
-use crate::message::{AllowanceReply, Message, Sender};
+use crate::message::{GrantReply, Message, Sender};
 use crate::refuse::Refusal;
 use crate::state::Gateway;
 use crate::OrgRule;
@@ -29,9 +29,9 @@
 const LOG_INTERVAL_MS: u64 = 10_000;
 
 /// A request to an allocator that has not been answered.
-struct PendingDraw {
+struct PendingGrant {
     org: Org,
-    sender: oneshot::Sender<AllowanceReply>,
+    sender: oneshot::Sender<GrantReply>,
 }
 
 /// The share of the allowances that this daemon keeps, its credits from other daemons, and its
@@ -39,7 +39,7 @@
 pub(crate) struct Allowances {
     pub(crate) allocator: Allocator,
     credits: Credits,
-    pending: HashMap<u64, PendingDraw>,
+    pending: HashMap<u64, PendingGrant>,
     next_id: u64,
     /// Allocators that did not answer, and until when they are asked last.
     avoided: HashMap<SocketAddr, Millis>,
@@ -113,8 +113,8 @@
         };
         let (org, cost) = (&rule.name, rule.cost(tokens));
         let me = self.me.address;
-        let mut draw = GrantRequest::new(org.clone(), cost, &self.allocators());
-        let mut step = self.next_step(&mut draw);
+        let mut request = GrantRequest::new(org.clone(), cost, &self.allocators());
+        let mut step = self.next_step(&mut request);
         let mut allocator = None;
         loop {
             step = match step {
@@ -130,18 +130,18 @@
                 GrantStep::Query(at) if at == me => {
                     let held = self.allowances.borrow().held(org);
                     let grant = self.grant(org, &allowance, cost, held);
-                    self.on_grant(&mut draw, grant)
+                    self.on_grant(&mut request, grant)
                 }
-                GrantStep::Query(at) => match self.draw_from(at, org, cost).await {
-                    Some(AllowanceReply::Granted(_, amount)) => {
+                GrantStep::Query(at) => match self.request_grant(at, org, cost).await {
+                    Some(GrantReply::Granted(_, amount)) => {
                         allocator = Some(at);
-                        self.on_grant(&mut draw, GrantResponse::Granted(amount))
+                        self.on_grant(&mut request, GrantResponse::Granted(amount))
                     }
-                    Some(AllowanceReply::Denied(wait)) => {
+                    Some(GrantReply::Denied(wait)) => {
                         let wait = Millis(u64::from(wait));
-                        self.on_grant(&mut draw, GrantResponse::Denied(wait))
+                        self.on_grant(&mut request, GrantResponse::Denied(wait))
                     }
-                    Some(AllowanceReply::Unknown) | None => self.next_step(&mut draw),
+                    Some(GrantReply::Unknown) | None => self.next_step(&mut request),
                 },
             };
         }
@@ -152,20 +152,20 @@
         }))
     }
 
-    fn next_step(&self, draw: &mut GrantRequest) -> GrantStep {
-        draw.next_step(&mut self.allowances.borrow_mut().credits, self.now())
+    fn next_step(&self, request: &mut GrantRequest) -> GrantStep {
+        request.next_step(&mut self.allowances.borrow_mut().credits, self.now())
     }
 
-    fn on_grant(&self, draw: &mut GrantRequest, grant: GrantResponse) -> GrantStep {
+    fn on_grant(&self, request: &mut GrantRequest, grant: GrantResponse) -> GrantStep {
         let credits = &mut self.allowances.borrow_mut().credits;
-        draw.on_grant(grant, credits, self.now())
+        request.on_grant(grant, credits, self.now())
     }
 
     /// The allocators in the order in which to ask them; those that recently did not answer are
     /// last.
     fn allocators(&self) -> Vec<SocketAddr> {
         let now = self.now();
-        let mut all = self.mesh.borrow_mut().allocators(now);
+        let mut all = self.membership.borrow_mut().allocators(now);
         let allowances = self.allowances.borrow();
         let avoided = |a: &SocketAddr| allowances.avoided.get(a).is_some_and(|until| now < *until);
         all.sort_by_key(avoided);
@@ -173,7 +173,7 @@
     }
 
     /// Asks another daemon for a grant; none if it does not answer.
-    async fn draw_from(&self, at: SocketAddr, org: &Org, cost: u64) -> Option<AllowanceReply> {
+    async fn request_grant(&self, at: SocketAddr, org: &Org, cost: u64) -> Option<GrantReply> {
         let (sender, receiver) = oneshot::channel();
         let (ticket, held) = {
             let mut allowances = self.allowances.borrow_mut();
@@ -181,11 +181,11 @@
             let id = allowances.next_id;
             allowances.next_id += 1;
             let org = org.clone();
-            allowances.pending.insert(id, PendingDraw { org, sender });
+            allowances.pending.insert(id, PendingGrant { org, sender });
             let incarnation = self.me.incarnation;
             (Ticket { incarnation, id }, held)
         };
-        let message = Message::AllowanceRequest {
+        let message = Message::GrantRequest {
             ticket,
             org: org.clone(),
             cost,
@@ -230,7 +230,7 @@
     }
 
     /// Handles another daemon's request for a grant.
-    pub(crate) fn handle_draw(
+    pub(crate) fn handle_grant_request(
         &self,
         from: &Sender,
         ticket: Ticket,
@@ -241,17 +241,17 @@
         let allowance = self.table().and_then(|t| t.allowance(org));
         let grant = allowance.map(|a| self.grant(org, &a, cost, held));
         let reply = match grant {
-            Some(GrantResponse::Granted(amount)) => AllowanceReply::Granted(org.clone(), amount),
+            Some(GrantResponse::Granted(amount)) => GrantReply::Granted(org.clone(), amount),
             Some(GrantResponse::Denied(wait)) => {
-                AllowanceReply::Denied(u32::try_from(wait.0).unwrap_or(u32::MAX))
+                GrantReply::Denied(u32::try_from(wait.0).unwrap_or(u32::MAX))
             }
-            Some(GrantResponse::NoShare) | None => AllowanceReply::Unknown,
+            Some(GrantResponse::NoShare) | None => GrantReply::Unknown,
         };
-        self.send(vec![(from.address, Message::AllowanceReply(ticket, reply))]);
+        self.send(vec![(from.address, Message::GrantReply(ticket, reply))]);
     }
 
     /// Handles an allocator's answer. A grant that is too late for its request is returned.
-    pub(crate) fn handle_draw_reply(&self, from: &Sender, ticket: Ticket, reply: AllowanceReply) {
+    pub(crate) fn handle_grant_reply(&self, from: &Sender, ticket: Ticket, reply: GrantReply) {
         let pending = match ticket.incarnation == self.me.incarnation {
             true => self.allowances.borrow_mut().pending.remove(&ticket.id),
             false => None,
@@ -260,11 +260,8 @@
             Some(pending) => pending.sender.send(reply).err(),
             None => Some(reply),
         };
-        if let Some(AllowanceReply::Granted(org, amount)) = late {
-            self.send(vec![(
-                from.address,
-                Message::AllowanceReturned { org, amount },
-            )]);
+        if let Some(GrantReply::Granted(org, amount)) = late {
+            self.send(vec![(from.address, Message::GrantReturned { org, amount })]);
         }
     }
 
@@ -277,7 +274,7 @@
         } = charge;
         match allocator {
             Some(allocator) => {
-                let message = Message::AllowanceReturned {
+                let message = Message::GrantReturned {
                     org: org.clone(),
                     amount: *cost,
                 };
@@ -304,7 +301,7 @@
             return;
         };
         let centres = self.settings.centres;
-        let part = self.mesh.borrow_mut().allowance_share(centres, now);
+        let part = self.membership.borrow_mut().allowance_share(centres, now);
         let mut allowances = self.allowances.borrow_mut();
         allowances
             .allocator
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -135,7 +135,7 @@
     let headers = exchange.head().headers();
     let answer = gw.codec.answer(status, headers);
     let headers = gw.codec.response_headers(headers);
-    note_load(gw, upstream, &answer);
+    record_load(gw, upstream, &answer);
     let own = answer.id.as_deref().is_none_or(|id| id == job.head.id);
     let proven = answer.signed && answer.id.is_some();
     if !own || answer.encoded || (status.is_success() && !proven) {
@@ -145,9 +145,9 @@
         if status == StatusCode::MISDIRECTED_REQUEST {
             let other = answer.instance.as_deref();
             if other.is_some_and(|i| i != upstream.as_str()) {
-                gw.note_replaced(upstream);
+                gw.record_replaced(upstream);
             } else {
-                gw.note_missing(upstream, job);
+                gw.record_missing(upstream, job);
             }
         }
         drain(exchange, &answer).await;
@@ -172,7 +172,7 @@
     }
 }
 
-fn note_load(gw: &Gateway, upstream: &Upstream, answer: &AnswerHead) {
+fn record_load(gw: &Gateway, upstream: &Upstream, answer: &AnswerHead) {
     // The slots of engines are counted by the daemons' own reports, which lag less.
     let plain = gw
         .roster
@@ -235,11 +235,11 @@
         true => Failure::Ended,
         false => failure,
     };
-    note_failure(gw, job, permit, sent, failure);
+    record_failure(gw, job, permit, sent, failure);
 }
 
 /// Records that an attempt failed; `failure` says whether its upstream crashed.
-pub(crate) fn note_failure(
+pub(crate) fn record_failure(
     gw: &Gateway,
     job: &Job,
     permit: &mut Permit,
@@ -346,7 +346,7 @@
         return Outcome::Answered(reply);
     }
     permit.end(attempt, AttemptEnd::Whole);
-    gw.metrics.note_first_byte(gw.now().since(job.arrived));
+    gw.metrics.record_first_byte(gw.now().since(job.arrived));
     gw.metrics.count_request("ok");
     log_end(gw, job, &permit, LogEvent::RequestEnded, "ok");
     Outcome::Answered(reply)
@@ -384,7 +384,7 @@
     if !opened.status.is_success() {
         return failed_stream(gw, job, permit, &sent, opened, first).await;
     }
-    gw.metrics.note_first_byte(gw.now().since(job.arrived));
+    gw.metrics.record_first_byte(gw.now().since(job.arrived));
     let (sender, body) = ReplyBody::channel(STREAM_BUFFER, None);
     let mut reply = Response::new(body);
     *reply.headers_mut() = std::mem::take(&mut opened.headers);
--- a/crates/gateway/src/blocked_store.rs
+++ b/crates/gateway/src/blocked_store.rs
@@ -1,11 +1,11 @@
-//! Stores the requests under which more than one upstream ended in the platform's store.
+//! Stores the requests during which more than one upstream crashed in the platform's store.
 //!
 //! Daemons keep nothing on their instances, and all of them may be killed at once; a request that
-//! was forgotten would then end three more upstreams each time. The daemon that reads the store for
-//! all therefore writes these requests, and each later reader loads them. This takes two calls for
-//! each such request, and one for each daemon that begins to read. It is not enough to store the
-//! blocked requests alone: when all daemons were killed twice, each time after two upstreams had
-//! ended, one request ended seven.
+//! was forgotten would then crash three more upstreams each time. The daemon that reads the store
+//! for all therefore writes these requests, and each later reader loads them. This takes two calls
+//! for each such request, and one for each daemon that begins to read. It is not enough to store
+//! the blocked requests alone: when all daemons were killed twice, each time after two upstreams
+//! had crashed, one request crashed seven.
 
 use crate::state::Gateway;
 use crate::store::{Record, StoreResult, Topic};
@@ -21,20 +21,20 @@
 /// have ended normally by then and are not written.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The number of upstreams that must have ended under a request before it is written.
-const STORED_ENDS: usize = MAX_CRASHES - 1;
+/// The number of upstreams that must have crashed during a request before it is written.
+const STORED_CRASHES: usize = MAX_CRASHES - 1;
 
-/// The requests written, with the number of upstreams that ended under each.
+/// The requests written, with the number of upstreams that crashed during each.
 type Written = BTreeMap<Fingerprint, usize>;
 
-/// Writes such requests for as long as the process lives.
+/// Writes such requests for as long as the process runs.
 pub(crate) async fn run(gw: Rc<Gateway>) {
     let mut health = StoreHealth::new("blocked");
     let mut written = None;
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let now = gw.now();
-        if !gw.mesh.borrow_mut().is_reader(now) {
+        if !gw.membership.borrow_mut().is_reader(now) {
             written = None;
             continue;
         }
@@ -116,7 +116,7 @@
 fn notes_to_store(gw: &Gateway, now: Millis) -> Vec<CrashNote> {
     let router = gw.router.borrow();
     let crashes = router.crashes();
-    let grave = crashes.repeated(now).into_iter();
-    let notes = grave.filter(|n| crashes.crash_count(&n.identity.request) >= STORED_ENDS);
+    let repeated = crashes.repeated(now).into_iter();
+    let notes = repeated.filter(|n| crashes.crash_count(&n.identity.request) >= STORED_CRASHES);
     notes.map(|n| CrashNote { age: 0, ..n }).collect()
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -68,7 +68,7 @@
         read_members(&gw, &mut health).await;
     }
     // A daemon that starts later than the others receives its hub's messages at once.
-    let contacted = || gw.mesh.borrow().has_hub_contact();
+    let contacted = || gw.membership.borrow().has_hub_contact();
     if gw.settings.first_start {
         wait_for(contacted, SETTLE_LIMIT).await;
     }
@@ -76,7 +76,7 @@
     while !registered {
         tokio::time::sleep(HUB_CHECK_INTERVAL).await;
         let now = gw.now();
-        registered = gw.mesh.borrow_mut().is_hub(now);
+        registered = gw.membership.borrow_mut().is_hub(now);
     }
     if answered {
         register(&gw, &mut health).await;
@@ -88,7 +88,7 @@
 async fn send_hello(gw: &Gateway) -> bool {
     let seeds = gw.settings.seeds.iter();
     let others: Vec<SocketAddr> = seeds.copied().filter(|s| *s != gw.me.address).collect();
-    let known = || gw.hubs_known.get() || gw.mesh.borrow().has_hub_contact();
+    let known = || gw.hubs_known.get() || gw.membership.borrow().has_hub_contact();
     let start = tokio::time::Instant::now();
     while start.elapsed() < HELLO_TIMEOUT {
         let hello = others.iter().map(|seed| (*seed, Message::Hello));
@@ -117,7 +117,7 @@
 
 /// Learns the daemons that are registered in the store.
 async fn read_members(gw: &Gateway, health: &mut StoreHealth) {
-    let contacted = || gw.mesh.borrow().has_hub_contact();
+    let contacted = || gw.membership.borrow().has_hub_contact();
     let started = Duration::from_millis(KNOWS_HUBS_AFTER_MS);
     wait_for(contacted, started).await;
     // The number of reads after which a daemon that can't read the members goes on without them.
@@ -150,7 +150,7 @@
                 strength: member.strength,
             };
             let now = gw.now();
-            gw.mesh.borrow_mut().learn_member(&from, now);
+            gw.membership.borrow_mut().learn_member(&from, now);
         }
         Err(e) => emit(
             LogEvent::EntrySkipped,
@@ -172,6 +172,6 @@
     /// Whether this daemon can list the others to a daemon that starts.
     pub(crate) fn knows_others(&self) -> bool {
         let runs = self.now().since(self.started) >= KNOWS_HUBS_AFTER_MS;
-        runs || self.mesh.borrow().has_hub_contact()
+        runs || self.membership.borrow().has_hub_contact()
     }
 }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -27,7 +27,7 @@
 /// The same time where callers are already waiting, as after many daemons were killed at once.
 const RESTART_WAIT: Duration = Duration::from_millis(600);
 
-/// Follows the configuration for as long as the process lives.
+/// Follows the configuration for as long as the process runs.
 pub(crate) async fn config(gw: Rc<Gateway>) {
     let mut health = StoreHealth::new("config");
     let mut next = None;
@@ -183,7 +183,7 @@
     }
 }
 
-/// Follows the upstreams' entries for as long as the process lives.
+/// Follows the upstreams' entries for as long as the process runs.
 pub(crate) async fn upstreams(gw: Rc<Gateway>) {
     let mut health = StoreHealth::new("upstreams");
     let mut next = None;
@@ -273,7 +273,7 @@
 impl Gateway {
     /// Whether this daemon reads the store for the others.
     fn is_reader(&self) -> bool {
-        self.mesh.borrow_mut().is_reader(self.now())
+        self.membership.borrow_mut().is_reader(self.now())
     }
 
     /// Whether the entries are known recently enough through the followed daemon.
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -59,30 +59,30 @@
 /// A daemon's load reaches the others through its hub and theirs.
 const HOPS: f64 = 2.0;
 
-/// The share of an engine's work that is for models for which other hubs choose: it holds three
+/// The share of an engine's work that is for models for which other hubs select: it holds three
 /// models, and one of them has most of the requests.
 const OTHER_HUBS_SHARE: f64 = 0.3;
 
-/// The share of the limit on the prompt backlog for a daemon's own prompts where it chooses in
+/// The share of the limit on the prompt backlog for a daemon's own prompts where it selects in
 /// parallel with the others; see [`PeerVisibility::own_share`].
 const OWN_SHARE: f64 = 0.1;
 
 impl Gateway {
     /// How well this daemon knows what the others send. Arrivals at an upstream since their last
-    /// reports are unknown, except this daemon's own share; a hub itself sends what it chooses for
+    /// reports are unknown, except this daemon's own share; a hub itself sends what it selects for
     /// all.
     fn sight(&self) -> PeerVisibility {
         let now = self.now();
         let age = self.report_interval().0 as f64;
-        let mut mesh = self.mesh.borrow_mut();
-        if mesh.is_hub(now) {
-            let hubs = mesh.choosers(now) as f64;
+        let mut membership = self.membership.borrow_mut();
+        if membership.is_hub(now) {
+            let hubs = membership.selector_count(now) as f64;
             return PeerVisibility {
                 unseen_ms: age * BUSY_SHARE * OTHER_HUBS_SHARE * (1.0 - 1.0 / hubs),
                 own_share: 1.0,
             };
         }
-        let daemons = mesh.alive() as f64;
+        let daemons = membership.alive() as f64;
         PeerVisibility {
             unseen_ms: age * HOPS * BUSY_SHARE * (1.0 - 1.0 / daemons),
             own_share: OWN_SHARE,
@@ -107,8 +107,8 @@
     let position = gw.reading.borrow().read_position(now);
     let crashes = gw.router.borrow().crashes().digest();
     let status = HubStatus { position, crashes };
-    let messages = gw.mesh.borrow_mut().tick(&report, status, now);
-    let requests = gw.mesh.borrow_mut().new_hub_targets(now);
+    let messages = gw.membership.borrow_mut().tick(&report, status, now);
+    let requests = gw.membership.borrow_mut().new_hub_targets(now);
     let requests = requests.into_iter();
     let requests = requests.map(|t| (t, Message::CrashesRequest { all: true }));
     let messages = messages.into_iter().chain(requests);
@@ -151,11 +151,11 @@
 
 /// What this daemon reports of itself as the planner; none where it is not the planner.
 pub(crate) fn planner_info(gw: &Gateway, now: Millis) -> Option<PlannerInfo> {
-    let claim = gw.planner_lease.borrow();
-    let (fence, renewed) = (claim.fence(now)?, claim.renewal()?);
+    let lease = gw.planner_lease.borrow();
+    let (fence, renewed) = (lease.fence(now)?, lease.renewal()?);
     let info = PlannerInfo {
         fence,
-        address: gw.mesh.borrow().address(),
+        address: gw.membership.borrow().address(),
         end: renewed.end,
         age: 0,
     };
@@ -181,7 +181,7 @@
 
 /// Updates the router with the load of the other daemons.
 fn update_peer_loads(gw: &Gateway) {
-    let loads = gw.mesh.borrow().other_loads(gw.now());
+    let loads = gw.membership.borrow().other_loads(gw.now());
     let names: Vec<Upstream> = gw.router.borrow().upstream_names().cloned().collect();
     for upstream in names {
         let reported = loads
@@ -197,7 +197,7 @@
     }
 }
 
-/// Receives the other daemons' datagrams for as long as the process lives.
+/// Receives the other daemons' datagrams for as long as the process runs.
 pub(crate) async fn receive(gw: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -223,29 +223,29 @@
     if from == gw.me {
         return;
     }
-    if gw.mesh.borrow_mut().on_datagram(&from, now) {
+    if gw.membership.borrow_mut().on_datagram(&from, now) {
         let detail = format!("instance={} life={:016x}", from.instance, from.incarnation);
         emit(LogEvent::MemberJoined, &detail);
     }
     match message {
         Message::Load(report) => {
             on_planner_info(gw, report.planner);
-            let mut mesh = gw.mesh.borrow_mut();
-            let correction = mesh.correct_follower(&from, now);
-            mesh.on_load(&from, report, now);
-            drop(mesh);
+            let mut membership = gw.membership.borrow_mut();
+            let correction = membership.correct_follower(&from, now);
+            membership.on_load(&from, report, now);
+            drop(membership);
             let members = correction.map(|c| (from.address, Message::Members(c)));
             gw.send(members.into_iter().collect());
         }
         Message::CentreLoad(report) => {
-            let hub = gw.mesh.borrow_mut().actual_hub(now);
+            let hub = gw.membership.borrow_mut().actual_hub(now);
             gw.forward(&from, hub, Message::ForwardedLoad(report.clone()));
             on_centre_load(gw, &from, report, now);
         }
         Message::ForwardedLoad(report) => on_centre_load(gw, &from, report, now),
         Message::TotalLoad(total) => {
             on_planner_info(gw, total.load.planner);
-            gw.mesh.borrow_mut().on_total_load(&from, &total, now);
+            gw.membership.borrow_mut().on_total_load(&from, &total, now);
             correct_hub(gw, &from, now);
             gw.on_crashes_digest(&from, total.crashes);
             on_read_position(gw, &from, total.position, total.ack, now);
@@ -255,7 +255,7 @@
         Message::ReadPosition(position) => on_read_position(gw, &from, Some(position), None, now),
         Message::Hello => on_hello(gw, &from, now),
         Message::Members(list) => {
-            gw.mesh.borrow_mut().on_member_list(&list, now);
+            gw.membership.borrow_mut().on_member_list(&list, now);
             gw.hubs_known.set(true);
         }
         Message::EntryChanges { number, entries } => {
@@ -281,24 +281,25 @@
             model,
             adapter,
         } => gw.handle_missing(&engine, &model, adapter.as_ref()),
-        Message::AllowanceRequest {
+        Message::GrantRequest {
             ticket,
             org,
             cost,
             held,
-        } => gw.handle_draw(&from, ticket, &org, cost, held),
-        Message::AllowanceReply(ticket, reply) => gw.handle_draw_reply(&from, ticket, reply),
-        Message::AllowanceReturned { org, amount } => gw.handle_refund(&org, amount),
-        Message::Resigned => gw.mesh.borrow_mut().on_resigned(&from),
+        } => gw.handle_grant_request(&from, ticket, &org, cost, held),
+        Message::GrantReply(ticket, reply) => gw.handle_grant_reply(&from, ticket, reply),
+        Message::GrantReturned { org, amount } => gw.handle_refund(&org, amount),
+        Message::Resigned => gw.membership.borrow_mut().on_resigned(&from),
         Message::AdapterWanted { model, adapter } => {
-            gw.wanted_adapters
-                .borrow_mut()
-                .insert((model, adapter), now);
+            gw.unmet_adapters.borrow_mut().insert((model, adapter), now);
             gw.plan_now.notify_one();
         }
         Message::PlannerUpdate(update) => {
             let audience = gw.on_planner_update(&update);
-            let targets = gw.mesh.borrow_mut().forward_targets(&from, audience, now);
+            let targets = gw
+                .membership
+                .borrow_mut()
+                .forward_targets(&from, audience, now);
             let passed = targets.into_iter();
             gw.send(
                 passed
@@ -314,13 +315,13 @@
     gw.on_crashes_digest(from, report.crashes);
     let (position, ack) = (report.position, report.ack);
     correct_hub(gw, from, now);
-    gw.mesh.borrow_mut().on_centre_load(from, report, now);
+    gw.membership.borrow_mut().on_centre_load(from, report, now);
     on_read_position(gw, from, position, ack, now);
 }
 
 /// Reports the current hub to a daemon that sends messages as a hub beside it.
 fn correct_hub(gw: &Gateway, from: &Sender, now: Millis) {
-    let correction = gw.mesh.borrow_mut().correct_hub(from, now);
+    let correction = gw.membership.borrow_mut().correct_hub(from, now);
     let members = correction.map(|c| (from.address, Message::Members(c)));
     gw.send(members.into_iter().collect());
 }
@@ -333,7 +334,7 @@
     ack: Option<Ack>,
     now: Millis,
 ) {
-    let follows = gw.mesh.borrow_mut().follows(&from.instance, now);
+    let follows = gw.membership.borrow_mut().follows(&from.instance, now);
     let Some(position) = position.filter(|_| follows) else {
         return;
     };
@@ -355,13 +356,13 @@
 /// Sends the hubs to a daemon that starts, once this one knows them.
 fn on_hello(gw: &Gateway, from: &Sender, now: Millis) {
     if gw.knows_others() {
-        let members = gw.mesh.borrow_mut().member_list(now);
+        let members = gw.membership.borrow_mut().member_list(now);
         gw.send(vec![(from.address, Message::Members(members))]);
     }
 }
 
 fn on_planner_info(gw: &Gateway, info: Option<PlannerInfo>) {
-    let mine = gw.mesh.borrow().address();
+    let mine = gw.membership.borrow().address();
     if let Some(planner) = info.filter(|p| p.address != mine) {
         let began = gw.now().0.saturating_sub(u64::from(planner.age));
         gw.planner_lease
@@ -373,7 +374,7 @@
 impl Gateway {
     /// The interval between load reports.
     pub(crate) fn report_interval(&self) -> Millis {
-        let known = self.mesh.borrow().known() as u64;
+        let known = self.membership.borrow().known() as u64;
         let (min_interval, max_interval) = TICK_BOUNDS_MS;
         Millis((known * TICK_PER_DAEMON_MS).clamp(min_interval, max_interval))
     }
@@ -411,7 +412,7 @@
     pub(crate) fn broadcast(&self, update: &PlannerUpdate) {
         let audience = self.on_planner_update(update);
         let targets = self
-            .mesh
+            .membership
             .borrow_mut()
             .broadcast_targets(audience, self.now());
         let messages = targets.into_iter();
@@ -438,12 +439,12 @@
             }
             PlannerUpdate::Renewed(planner) => {
                 on_planner_info(self, Some(*planner));
-                self.mesh.borrow_mut().on_renewed(*planner, now);
+                self.membership.borrow_mut().on_renewed(*planner, now);
                 Audience::Hubs
             }
             PlannerUpdate::Released => {
                 self.planner_lease.borrow_mut().on_release();
-                self.mesh.borrow_mut().on_released();
+                self.membership.borrow_mut().on_released();
                 Audience::Hubs
             }
             PlannerUpdate::Held {
@@ -464,7 +465,7 @@
     /// the configuration has come into force.
     pub(crate) fn send_read_position(&self) {
         let now = self.now();
-        let followers = self.mesh.borrow_mut().followers(now);
+        let followers = self.membership.borrow_mut().followers(now);
         let Some(position) = self.reading.borrow().read_position(now) else {
             return;
         };
@@ -481,7 +482,7 @@
         if changes.is_empty() {
             return;
         }
-        let followers = self.mesh.borrow_mut().followers(self.now());
+        let followers = self.membership.borrow_mut().followers(self.now());
         for part in changes.chunks(ENTRIES_PER_DATAGRAM) {
             let number = self.reading.borrow_mut().next_number();
             let message = |t: &SocketAddr| {
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -181,7 +181,7 @@
 /// Returns the first fresh copy of the daemons that may have read the store for this one: a
 /// follower asks its hub, a hub the other hubs.
 async fn fetch<T: Aged>(gw: &Gateway, path: &'static str, max_age: Millis) -> Option<Fetched<T>> {
-    let sources = gw.mesh.borrow_mut().sources(gw.now());
+    let sources = gw.membership.borrow_mut().sources(gw.now());
     for peer in sources {
         let requested = gw.now();
         match fetch_from::<T>(gw, peer, path, max_age).await {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -14,18 +14,21 @@
 //!
 //! Around it:
 //!
-//! * `follow` follows the platform's [`Store`], which it calls through `store_health`; `roster` keeps the
-//!   list of upstreams, and `skipped_records` limits the log lines about records that name none.
-//! * `membership` decides which daemons exchange which data, in the messages of `message`: `peers` lists
-//!   the daemons, `hub_election` selects the hubs, and `allowance_share` computes the share of the allowances that a
-//!   daemon keeps; `gossip` sends and receives the messages, `read_progress` decides which daemon reads
-//!   the store, `handover` passes on what was read, and `discovery` finds other daemons.
-//! * `planner` plans with `shaleline_fleet` while `planner_lease` holds the planner lease, which a daemon
-//!   gives up if `isolation` finds it in contact with too few others; `orders` sends the orders,
-//!   `tag_index` identifies demand that others reported, and `announced` has what was announced to them.
+//! * `follow` follows the platform's [`Store`], which it calls through `store_health`; `roster`
+//!   keeps the list of upstreams, and `skipped_records` limits the log lines about records that
+//!   name none.
+//! * `membership` decides which daemons exchange which data, in the messages of `message`: `peers`
+//!   lists the daemons, `hub_election` selects the hubs, and `allowance_share` computes the share
+//!   of the allowances that a daemon keeps; `gossip` sends and receives the messages,
+//!   `read_progress` decides which daemon reads the store, `handover` passes on what was read, and
+//!   `discovery` finds other daemons.
+//! * `planner` plans with `shaleline_fleet` while `planner_lease` holds the planner lease, which a
+//!   daemon gives up if `isolation` finds it in contact with too few others; `orders` sends the
+//!   orders, `tag_index` identifies demand that others reported, and `announced` has what was
+//!   announced to them.
 //! * `crash_probe` finds out whether an upstream crashed when an attempt broke off, `suspects`
-//!   reports to the others during which requests upstreams crashed, and `blocked_store` keeps that in the
-//!   store.
+//!   reports to the others during which requests upstreams crashed, and `blocked_store` keeps that
+//!   in the store.
 //! * `stall` detects stalls of this process, and `ready` decides whether it should take work.
 //! * `control` answers the balancer and serves metrics and state; `start` starts and stops the
 //!   gateway.
@@ -97,17 +100,17 @@
     mod admission;
     #[path = "catalogue/main.rs"]
     mod catalogue;
-    mod choosing;
     #[path = "crashes/main.rs"]
     mod crashes;
     mod events;
-    mod hand;
     mod identity;
     mod job;
-    mod mesh;
-    mod reading;
+    mod manual_clock;
+    mod membership;
+    mod read_progress;
     mod ready;
     mod roster;
+    mod selection;
     mod start;
     mod suspended;
 }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -106,7 +106,7 @@
 pub(crate) struct HubStatus {
     /// How far it has read the store.
     pub(crate) position: Option<ReadPosition>,
-    /// The digest of the requests under which upstreams ended.
+    /// The digest of the requests during which upstreams crashed.
     pub(crate) crashes: u64,
 }
 
@@ -228,30 +228,30 @@
         others.chain([self.me.address]).collect()
     }
 
-    /// The number of hubs that choose upstreams for all daemons.
-    pub(crate) fn choosers(&mut self, now: Millis) -> usize {
+    /// The number of hubs that select upstreams for all daemons.
+    pub(crate) fn selector_count(&mut self, now: Millis) -> usize {
         if self.is_elected(now) {
             return self.reachable_hubs(now).len();
         }
         self.hubs.len().max(1)
     }
 
-    /// The daemon that chooses upstreams for a model or service.
-    pub(crate) fn chooser(
+    /// The daemon that selects upstreams for a model or service.
+    pub(crate) fn selector(
         &mut self,
         key: &str,
         answers: impl Fn(SocketAddr) -> bool,
         now: Millis,
     ) -> Selector {
-        let sits = self.is_elected(now);
-        let hubs = match (sits, self.fresh_total(now)) {
+        let is_elected = self.is_elected(now);
+        let hubs = match (is_elected, self.fresh_total(now)) {
             (true, _) => self.reachable_hubs(now),
             (false, Some(_)) => self.hubs.clone(),
             (false, None) => Vec::new(),
         };
         match Selector::of(key, hubs, answers, self.me.address) {
-            Selector::NoHub if sits => Selector::Local,
-            chooser => chooser,
+            Selector::NoHub if is_elected => Selector::Local,
+            selector => selector,
         }
     }
 
@@ -322,8 +322,8 @@
 
     /// The hubs, and the daemons of each data centre that would succeed them.
     pub(crate) fn member_list(&mut self, now: Millis) -> MemberList {
-        /// The number of successors listed for a data centre. A hub may have just died; two rarely
-        /// die at once.
+        /// The number of successors listed for a data centre. A hub may have just failed; two
+        /// rarely fail at once.
         const SUCCESSORS: usize = 2;
         let centres: Vec<DataCentre> = self.peers.centres().cloned().collect();
         let mut list = MemberList::default();
@@ -550,8 +550,8 @@
         all
     }
 
-    /// The targets of a message that each hub must receive, as a hub may die before it forwards it:
-    /// all hubs.
+    /// The targets of a message that each hub must receive, as a hub may fail before it forwards
+    /// it: all hubs.
     pub(crate) fn hub_broadcast_targets(
         &mut self,
         audience: Audience,
--- a/crates/gateway/src/message.rs
+++ b/crates/gateway/src/message.rs
@@ -57,7 +57,7 @@
         /// Each with the offset of its record.
         entries: Vec<(Upstream, u64, Option<Entry>)>,
     },
-    /// To the hub that chooses for the model or service: a request needs an upstream.
+    /// To the hub that selects for the model or service: a request needs an upstream.
     Ask(Ticket, Box<AskNote>),
     /// To the same hub: asks for the answer to an earlier [`Message::Ask`].
     Poll(Ticket),
@@ -66,42 +66,42 @@
     /// To the same hub, periodically: the open requests, and the upstreams that have sent bytes
     /// since the last such message.
     Open { requests: Vec<u64>, alive: Vec<Tag> },
-    /// From the choosing hub: what to do with a request.
+    /// From the selecting hub: what to do with a request.
     Answer(Ticket, Answer),
-    /// To the choosing hub: an engine reported that it does not hold this model or adapter.
+    /// To the selecting hub: an engine reported that it does not hold this model or adapter.
     Missing {
         engine: Upstream,
         model: Model,
         adapter: Option<Adapter>,
     },
     /// To a daemon that holds a share of the allowances: a request needs tokens.
-    AllowanceRequest {
+    GrantRequest {
         ticket: Ticket,
         org: Org,
         cost: u64,
         /// The amount that the sender holds in advance.
         held: u64,
     },
-    /// The reply to an [`Message::AllowanceRequest`].
-    AllowanceReply(Ticket, AllowanceReply),
+    /// The reply to a [`Message::GrantRequest`].
+    GrantReply(Ticket, GrantReply),
     /// To the allocator: the amount granted for a request that did not run.
-    AllowanceReturned { org: Org, amount: u64 },
+    GrantReturned { org: Org, amount: u64 },
     /// From a hub that stops: other daemons take its place.
     Resigned,
     /// To the planner: a request needs an adapter that no engine holds.
     AdapterWanted { model: Model, adapter: Adapter },
     /// From the planner, forwarded by hubs to all daemons that it concerns.
     PlannerUpdate(PlannerUpdate),
-    /// Requests under which upstreams ended.
+    /// Requests during which upstreams crashed.
     Crashes { notes: Vec<CrashNote> },
-    /// Asks for the requests under which upstreams ended: for those that concern every daemon, or
-    /// for all of them where the sender is a new hub.
+    /// Asks for the requests during which upstreams crashed: for those that concern every daemon,
+    /// or for all of them where the sender is a new hub.
     CrashesRequest { all: bool },
 }
 
 /// The reply to a daemon that needs a share of an allowance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum AllowanceReply {
+pub(crate) enum GrantReply {
     /// The amount granted from the organisation's allowance.
     Granted(Org, u64),
     /// Refused for now; holds the retry-after time in milliseconds.
@@ -286,10 +286,10 @@
     pub(crate) load: LoadReport,
     /// None where the hub has no knowledge of the store yet.
     pub(crate) position: Option<ReadPosition>,
-    /// The hubs from which the sender receives reports, itself included: each chooses for a share
+    /// The hubs from which the sender receives reports, itself included: each selects for a share
     /// of the models.
     pub(crate) hubs: Vec<SocketAddr>,
-    /// The digest of the requests under which upstreams ended.
+    /// The digest of the requests during which upstreams crashed.
     pub(crate) crashes: u64,
     /// Acknowledges the last report that the sender received from the addressee.
     pub(crate) ack: Option<Ack>,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -116,21 +116,21 @@
         self.orders.add(1, &[KeyValue::new("reply", reply)]);
     }
 
-    pub(crate) fn note_first_byte(&self, millis: u64) {
+    pub(crate) fn record_first_byte(&self, millis: u64) {
         self.first.record(millis as f64, &[]);
     }
 
-    pub(crate) fn note_wait(&self, millis: u64) {
+    pub(crate) fn record_wait(&self, millis: u64) {
         self.wait.record(millis as f64, &[]);
     }
 
     /// Records for how long a model with demand was unserved.
-    pub(crate) fn note_unserved(&self, millis: u64) {
+    pub(crate) fn record_unserved(&self, millis: u64) {
         self.unserved.record(millis as f64, &[]);
     }
 
     /// Records the number of requests with crash records, and how many of them are blocked.
-    pub(crate) fn note_suspects(&self, known: usize, blocked: usize) {
+    pub(crate) fn record_suspects(&self, known: usize, blocked: usize) {
         let watched = known - blocked;
         for (state, count) in [("watched", watched), ("blocked", blocked)] {
             self.suspects
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -89,7 +89,7 @@
             query_engine(gw, &order.engine).await;
         }
         OrderReply::Fenced => gw.planner_lease.borrow_mut().step_down(),
-        OrderReply::Elsewhere => gw.note_replaced(&order.engine),
+        OrderReply::Elsewhere => gw.record_replaced(&order.engine),
         OrderReply::Accepted | OrderReply::Invalid | OrderReply::Lost => {}
     }
     reply == OrderReply::Accepted
--- a/crates/gateway/src/planner.rs
+++ b/crates/gateway/src/planner.rs
@@ -48,7 +48,7 @@
     /// Engines to which the previous planner recently gave an order, and until when they get no new
     /// one.
     resting: RefCell<BTreeMap<Upstream, Millis>>,
-    /// When this daemon took over from a planner that had died.
+    /// When this daemon took over from a planner that had failed.
     last_takeover: Cell<Option<Millis>>,
     /// Until when copies may be spread before the first traffic: the end of the time in which loads
     /// begin, and of the time in which engines restore what they held.
@@ -76,7 +76,7 @@
         self.engines.borrow().contains(start)
     }
 
-    /// Whether this daemon recently took over from a planner that died.
+    /// Whether this daemon recently took over from a planner that failed.
     fn recently_took_over(&self, now: Millis) -> bool {
         let at = self.last_takeover.get();
         at.is_some_and(|at| now.since(at) < TAKEOVER_MS)
@@ -92,7 +92,8 @@
     }
 }
 
-/// The time after a takeover within which what ended the previous planner may end this one too.
+/// The time after a takeover within which the cause of the previous planner's failure may make this
+/// one fail too.
 const TAKEOVER_MS: u64 = 3_000;
 
 /// The time within which the first planner of all begins to spread copies, so that loads of 9 s end
@@ -102,7 +103,7 @@
 /// The time after which engines have restored what they held at the start.
 const SPREAD_END_MS: u64 = 14_000;
 
-/// Runs for as long as the process lives.
+/// Runs for as long as the process runs.
 pub(crate) async fn run(gw: Rc<Gateway>) {
     let state = Rc::new(PlannerState::default());
     loop {
@@ -154,12 +155,12 @@
         state.last_log.set(now);
         emit(
             LogEvent::PlannerKnows,
-            &gw.mesh.borrow_mut().log_detail(now),
+            &gw.membership.borrow_mut().log_detail(now),
         );
     }
     let since = now.since(state.last_plan.get());
     let due = since >= gw.settings.policy.plan_interval.0;
-    let wanted = (woken || !gw.wanted_adapters.borrow().is_empty()) && since >= WANTED_PLAN_MS;
+    let wanted = (woken || !gw.unmet_adapters.borrow().is_empty()) && since >= WANTED_PLAN_MS;
     let fence = fence.filter(|_| due || wanted)?;
     state.last_plan.set(now);
     Some(plan(gw, state, fence, now))
@@ -240,8 +241,8 @@
 /// The demand of all callers for the models of a service, and the unmet demand; this daemon's own
 /// demand where nothing else is known.
 fn demand(gw: &Gateway, tags: &TagIndex, now: Millis) -> (Rates, UnmetByKey) {
-    let mesh = gw.mesh.borrow();
-    let known = mesh.total_demand(now);
+    let membership = gw.membership.borrow();
+    let known = membership.total_demand(now);
     let rates = known.map(|(demand, _)| tags.resolve(&demand.rates));
     let mut rates = rates.unwrap_or_else(|| gw.demand.borrow_mut().rates(now));
     let unmet = known.map(|(demand, age)| {
@@ -250,9 +251,9 @@
         named.map(|(key, u)| (key, u.aged(age))).collect()
     });
     let mut unmet: UnmetByKey = unmet.unwrap_or_default();
-    let mut wants = gw.wanted_adapters.borrow_mut();
-    wants.retain(|_, at| now.since(*at) < WANTED_MS);
-    for ((model, adapter), at) in wants.iter() {
+    let mut wanted_at = gw.unmet_adapters.borrow_mut();
+    wanted_at.retain(|_, at| now.since(*at) < WANTED_MS);
+    for ((model, adapter), at) in wanted_at.iter() {
         let key = (model.clone(), Some(adapter.clone()));
         let rate = rates.entry(key.clone()).or_default();
         rate.work = rate.work.max(WANTED_RATE);
@@ -327,7 +328,7 @@
             PlanNote::ModelAway { .. } => LogEvent::ModelAway,
             PlanNote::AdapterAway { .. } => LogEvent::AdapterAway,
             PlanNote::ModelBack { away, .. } => {
-                gw.metrics.note_unserved(away.0);
+                gw.metrics.record_unserved(away.0);
                 LogEvent::ModelBack
             }
         };
--- a/crates/gateway/src/planner_lease.rs
+++ b/crates/gateway/src/planner_lease.rs
@@ -15,7 +15,7 @@
 
 /// The record of the lease in the store.
 #[derive(Debug, Serialize, Deserialize)]
-struct ClaimRecord {
+struct LeaseRecord {
     holder: String,
     released: bool,
     /// The holder's last orders, where it releases the lease.
@@ -27,7 +27,7 @@
 pub(crate) fn next_action(gw: &Gateway) -> Option<PlannerLeaseAction> {
     let now = gw.now();
     // Hubs know the demand, as far as they receive the reports of the others.
-    let hub = gw.mesh.borrow_mut().is_hub(now) && gw.quorum.borrow().may_acquire(now);
+    let hub = gw.membership.borrow_mut().is_hub(now) && gw.isolation.borrow().may_acquire(now);
     let candidate = hub || gw.planner_lease.borrow().is_holder();
     if !gw.settings.policy.plans || !candidate || !gw.hub_ready.get() {
         return None;
@@ -46,11 +46,11 @@
 async fn read(gw: &Gateway) {
     let newest = gw.store.newest(Topic::Planner).await;
     gw.metrics.count_store("planner", newest.is_ok());
-    let mut claim = gw.planner_lease.borrow_mut();
+    let mut lease = gw.planner_lease.borrow_mut();
     let now = gw.now();
     match newest.as_ref().map(to_view) {
         Ok((view, last)) => {
-            claim.on_read(&view, now);
+            lease.on_read(&view, now);
             let inherited = last.map(|last| Inherited {
                 last,
                 end: view.end,
@@ -58,7 +58,7 @@
             });
             *gw.inherited.borrow_mut() = inherited;
         }
-        Err(_) => claim.on_failed(),
+        Err(_) => lease.on_failed(),
     }
 }
 
@@ -77,7 +77,7 @@
     let value = newest.and_then(|r| r.value.as_deref());
     // A record that can't be parsed still means that some daemon holds the lease.
     let record = value.map(|v| {
-        serde_json::from_slice(v).unwrap_or(ClaimRecord {
+        serde_json::from_slice(v).unwrap_or(LeaseRecord {
             holder: "unknown".to_owned(),
             released: false,
             last: None,
@@ -95,7 +95,7 @@
 }
 
 fn record(gw: &Gateway, last: Option<Handover>) -> Vec<u8> {
-    let record = ClaimRecord {
+    let record = LeaseRecord {
         holder: gw.holder(),
         released: last.is_some(),
         last,
@@ -110,13 +110,13 @@
         .append(Topic::Planner, KEY, &value, Some(end))
         .await;
     gw.metrics.count_store("planner", result.is_ok());
-    let mut claim = gw.planner_lease.borrow_mut();
+    let mut lease = gw.planner_lease.borrow_mut();
     match result {
-        Ok(offset) => claim.on_appended(offset, started),
-        Err(StoreError::Moved(_)) => claim.on_conflict(),
-        Err(_) => claim.on_failed(),
+        Ok(offset) => lease.on_appended(offset, started),
+        Err(StoreError::Moved(_)) => lease.on_conflict(),
+        Err(_) => lease.on_failed(),
     }
-    drop(claim);
+    drop(lease);
     let planner = planner_info(gw, gw.now()).filter(|_| result.is_ok());
     if let Some(planner) = planner {
         gw.broadcast(&PlannerUpdate::Renewed(planner));
@@ -134,9 +134,9 @@
 /// Whether this daemon releases the lease because it receives too few reports.
 pub(crate) fn should_release(gw: &Gateway) -> bool {
     let now = gw.now();
-    let receives = gw.mesh.borrow_mut().receives_enough(now);
+    let receives = gw.membership.borrow_mut().receives_enough(now);
     let is_holder = gw.planner_lease.borrow().is_holder();
-    let mut isolation = gw.quorum.borrow_mut();
+    let mut isolation = gw.isolation.borrow_mut();
     isolation.observe(receives, is_holder, now);
     is_holder && isolation.should_release(now)
 }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -21,7 +21,7 @@
 /// Whether a version may be in force elsewhere that this daemon missed while it stalled.
 pub(crate) fn is_behind(
     reading: &ReadProgress,
-    pulse: &StallDetector,
+    stall_detector: &StallDetector,
     apply: Millis,
     now: Millis,
 ) -> bool {
@@ -29,7 +29,7 @@
         return false;
     };
     let allowed = apply.0.saturating_sub(IN_TRANSIT_MS);
-    now.since(known) >= allowed && pulse.stalled_since(known, now)
+    now.since(known) >= allowed && stall_detector.stalled_since(known, now)
 }
 
 impl Gateway {
@@ -42,8 +42,8 @@
     /// Whether the configuration may be out of date because this process stalled.
     pub(crate) fn is_behind(&self) -> bool {
         let apply = self.bounds.borrow().apply;
-        let pulse = self.stall_detector.borrow();
-        is_behind(&self.reading.borrow(), &pulse, apply, self.now())
+        let stall_detector = self.stall_detector.borrow();
+        is_behind(&self.reading.borrow(), &stall_detector, apply, self.now())
     }
 
     /// The time since the configuration in force was confirmed as the newest.
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -265,7 +265,7 @@
 
 /// Sends a request until it is answered or refused, at the latest by its deadline.
 async fn serve(gw: &Rc<Gateway>, job: Job) -> Reply {
-    note_demand(gw, &job);
+    record_demand(gw, &job);
     let job = Rc::new(job);
     let mut permit = Permit::ask(gw, &job);
     let mut fallback = None;
@@ -285,7 +285,7 @@
             Some(Some(RouteAction::Refuse { kind, retry, .. })) => {
                 let retry = retry.or_else(|| retry_after(gw, &job));
                 if permit.sends == 0 {
-                    gw.note_unmet(&job, retry.unwrap_or_default());
+                    gw.record_unmet(&job, retry.unwrap_or_default());
                 }
                 let refusal = Refusal::new(kind).with_retry(retry);
                 return fallback
@@ -299,11 +299,11 @@
             return fallback.unwrap_or_else(|| refuse::after_routing(gw, &job, &permit, refusal));
         }
         if permit.sends == 0 {
-            gw.metrics.note_wait(gw.now().since(job.arrived));
+            gw.metrics.record_wait(gw.now().since(job.arrived));
         }
         match attempt::send(gw, &job, permit, attempt, &upstream).await {
             Outcome::Answered(reply) => {
-                gw.note_served(&job);
+                gw.record_served(&job);
                 return reply;
             }
             Outcome::Unanswered(returned) => permit = returned,
@@ -329,8 +329,8 @@
 /// order of their refusal: if all retried at once, they would take the slots from each other.
 const SPREAD_DIVISOR: u64 = 2;
 
-/// The upper limit of that spread, however long there was no planner; each planner that died before
-/// adds as much.
+/// The upper limit of that spread, however long there was no planner; each planner that failed
+/// before adds as much.
 const MAX_SPREAD: Millis = Millis(3_000);
 
 /// Retry-after time when the engines that serve a model are overloaded. The overload lasts until
@@ -357,7 +357,8 @@
 pub(crate) fn load_retry(gw: &Gateway, takes: Millis) -> Millis {
     match gw.planner_lease.borrow().gap(gw.now()) {
         Some(vacancy) => {
-            // The number of refused callers grows with the number of planners that died in between.
+            // The number of refused callers grows with the number of planners that failed in
+            // between.
             let turn =
                 (vacancy.elapsed.0 / SPREAD_DIVISOR).min(MAX_SPREAD.0) * (1 + vacancy.failures);
             let waits = vacancy.remaining.plus(vacancy.extra.0).plus(TAKEOVER.0);
@@ -368,7 +369,7 @@
 }
 
 /// Records demand, and requests an adapter that no engine holds from the planner.
-pub(crate) fn note_demand(gw: &Gateway, job: &Job) {
+pub(crate) fn record_demand(gw: &Gateway, job: &Job) {
     let Some(model) = &job.head.model else {
         return;
     };
@@ -402,7 +403,7 @@
 impl Gateway {
     /// Records that a caller was refused with the retry-after time `retry`. Only first attempts
     /// count, and only if no engine is known to serve the model or adapter.
-    pub(crate) fn note_unmet(&self, job: &Job, retry: Millis) {
+    pub(crate) fn record_unmet(&self, job: &Job, retry: Millis) {
         let Some(model) = job.head.model.as_ref().filter(|_| !job.is_retry) else {
             return;
         };
@@ -414,7 +415,7 @@
     }
 
     /// Records that a caller was served.
-    pub(crate) fn note_served(&self, job: &Job) {
+    pub(crate) fn record_served(&self, job: &Job) {
         if let Some(model) = &job.head.model {
             let adapter = job.head.adapter.as_ref();
             let mut unmet = self.unmet.borrow_mut();
@@ -427,11 +428,11 @@
         let now = self.now();
         if self.planner_lease.borrow().fence(now).is_some() {
             let key = (model.clone(), adapter.clone());
-            self.wanted_adapters.borrow_mut().insert(key, now);
+            self.unmet_adapters.borrow_mut().insert(key, now);
             self.plan_now.notify_one();
             return;
         }
-        let planner = self.mesh.borrow().planner(now);
+        let planner = self.membership.borrow().planner(now);
         let message = crate::message::Message::AdapterWanted {
             model: model.clone(),
             adapter: adapter.clone(),
@@ -441,7 +442,7 @@
 
     /// Records that another upstream has taken over this one's address. This one is gone, even if
     /// it is still listed.
-    pub(crate) fn note_replaced(&self, upstream: &Upstream) {
+    pub(crate) fn record_replaced(&self, upstream: &Upstream) {
         emit(
             LogEvent::UpstreamGone,
             &format!("upstream={upstream} reason=replaced"),
@@ -451,7 +452,7 @@
     }
 
     /// Records that an upstream does not hold the model or adapter of a request.
-    pub(crate) fn note_missing(&self, upstream: &Upstream, job: &Job) {
+    pub(crate) fn record_missing(&self, upstream: &Upstream, job: &Job) {
         if let Some(model) = &job.head.model {
             let now = self.now();
             let adapter = job.head.adapter.as_ref();
--- a/crates/gateway/src/selection.rs
+++ b/crates/gateway/src/selection.rs
@@ -29,7 +29,7 @@
         let now = self.now();
         let available = |hub| self.delegated.borrow().is_available(hub, now);
         let key = sharing_key(&ask.route);
-        let selector = self.mesh.borrow_mut().chooser(key, available, now);
+        let selector = self.membership.borrow_mut().selector(key, available, now);
         if self.refuse_suspect(&ask, selector == Selector::NoHub) {
             return;
         }
@@ -192,7 +192,7 @@
             ProgressNote::Ended(attempt, end) => {
                 let end = end.to_end();
                 if end == AttemptEnd::NotSent {
-                    self.note_refused_connection(id);
+                    self.record_refused_connection(id);
                 }
                 self.peer_requests.borrow_mut().set_queued(id);
                 self.route(RouteEvent::Ended { id, attempt, end });
@@ -204,7 +204,7 @@
     }
 
     /// Records that an engine refused another daemon's connection.
-    fn note_refused_connection(&self, id: RequestId) {
+    fn record_refused_connection(&self, id: RequestId) {
         let at = self.router.borrow().upstream_of(id).cloned();
         if let Some(at) = at {
             self.with_fleet(&at, |f| f.record_unreachable(&at, self.now()));
@@ -285,7 +285,7 @@
 
     /// Stops selecting for other daemons, because this daemon stops.
     pub(crate) fn resign(&self) {
-        let receivers = self.mesh.borrow_mut().resign(self.now());
+        let receivers = self.membership.borrow_mut().resign(self.now());
         let messages = receivers.into_iter().map(|t| (t, Message::Resigned));
         self.send(messages.collect());
     }
--- a/crates/gateway/src/selector.rs
+++ b/crates/gateway/src/selector.rs
@@ -24,8 +24,8 @@
     /// of `key`.
     ///
     /// If the first hub does not answer, the next one is used. When each daemon selected for itself
-    /// in that case, a request in eight copies crashed up to eleven upstreams while hubs were killed;
-    /// with a second hub it crashed up to five, with 30 daemons in simulated time.
+    /// in that case, a request in eight copies crashed up to eleven upstreams while hubs were
+    /// killed; with a second hub it crashed up to five, with 30 daemons in simulated time.
     pub(crate) fn of(
         key: &str,
         mut hubs: Vec<SocketAddr>,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -99,7 +99,7 @@
     Ok(Running { gw })
 }
 
-/// Runs the periodic work for as long as the process lives.
+/// Runs the periodic work for as long as the process runs.
 async fn tick(gw: Rc<Gateway>) {
     let mut ready = false;
     let mut keys = true;
@@ -107,7 +107,7 @@
     let mut summed = gw.now();
     loop {
         let interval = wait_for_tick(&gw).await;
-        note_suspension(&gw);
+        record_suspension(&gw);
         run_tick(&gw, interval);
         if ready != gw.is_ready() {
             ready = gw.is_ready();
@@ -144,7 +144,7 @@
 
 /// Drops kept connections that expired while the instance was suspended. All other state expires by
 /// the same clock and needs no special handling.
-fn note_suspension(gw: &Gateway) {
+fn record_suspension(gw: &Gateway) {
     if let Some(suspended) = gw.clock.look_for_suspension() {
         emit(LogEvent::Suspended, &format!("ms={}", suspended.0));
         gw.pool.prune();
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -87,7 +87,7 @@
     pub(crate) demand: RefCell<Demand>,
     /// The demand of this daemon's callers that was not served.
     pub(crate) unmet: RefCell<UnmetDemand>,
-    pub(crate) mesh: RefCell<Membership>,
+    pub(crate) membership: RefCell<Membership>,
     pub(crate) reading: RefCell<ReadProgress>,
     pub(crate) stall_detector: RefCell<StallDetector>,
     /// The configuration's record as it was read, for other daemons.
@@ -104,7 +104,7 @@
     pub(crate) position_changed: Notify,
     pub(crate) planner_lease: RefCell<PlannerLease>,
     /// Whether this daemon is in contact with enough others to plan.
-    pub(crate) quorum: RefCell<Isolation>,
+    pub(crate) isolation: RefCell<Isolation>,
     /// When engines had their last orders, from this daemon or from previous planners.
     pub(crate) last_orders: RefCell<LastOrders>,
     /// The state that the previous planner handed over, as it was read last.
@@ -112,7 +112,7 @@
     /// What this daemon announced about engines as the planner.
     pub(crate) announced: RefCell<Announced>,
     /// Adapters that callers wait for, each with the time of its latest request.
-    pub(crate) wanted_adapters: RefCell<BTreeMap<(Model, shaleline_types::Adapter), Millis>>,
+    pub(crate) unmet_adapters: RefCell<BTreeMap<(Model, shaleline_types::Adapter), Millis>>,
     /// Wakes the planner.
     pub(crate) plan_now: Notify,
     /// Messages to send to other daemons at once.
@@ -182,7 +182,7 @@
             address: settings.listen.peers,
             strength: settings.strength(),
         };
-        let mesh = Membership::new(me.clone());
+        let membership = Membership::new(me.clone());
         let pool = PoolSettings {
             connect: CONNECT_TIMEOUT,
             dead: DEAD_TIMEOUT,
@@ -194,12 +194,12 @@
             ..RouterSettings::new(settings.centre.clone())
         };
         let name = settings.instance.as_str();
-        let claim = PlannerLeaseSettings::from_lease(settings.bounds.lease);
+        let lease_settings = PlannerLeaseSettings::from_lease(settings.bounds.lease);
         Ok(Rc::new(Self {
             router: RefCell::new(Router::new(router, ShareBook::alone(name))),
-            quorum: RefCell::new(Isolation::default()),
+            isolation: RefCell::new(Isolation::default()),
             planner_lease: RefCell::new(PlannerLease::new(
-                claim,
+                lease_settings,
                 format!("{name}/{incarnation:016x}"),
             )),
             last_orders: RefCell::new(LastOrders::default()),
@@ -218,7 +218,7 @@
             allowances: RefCell::new(Allowances::new(settings.bounds.tolerance)),
             demand: RefCell::new(Demand::default()),
             unmet: RefCell::new(UnmetDemand::default()),
-            mesh: RefCell::new(mesh),
+            membership: RefCell::new(membership),
             reading: RefCell::new(ReadProgress::default()),
             stall_detector: RefCell::new(StallDetector::new(now)),
             config_record: RefCell::new(None),
@@ -228,7 +228,7 @@
             hub_ready: Cell::new(false),
             position_changed: Notify::new(),
             announced: RefCell::new(Announced::default()),
-            wanted_adapters: RefCell::new(BTreeMap::new()),
+            unmet_adapters: RefCell::new(BTreeMap::new()),
             plan_now: Notify::new(),
             outbox,
             rng: RefCell::new(rng),
@@ -479,12 +479,12 @@
     /// Divides the retry budget among the live daemons; the hubs share most of it.
     pub(crate) fn share_budget(&self) {
         let now = self.now();
-        let mut mesh = self.mesh.borrow_mut();
-        let share = match (mesh.is_hub(now), mesh.choosers(now)) {
-            (true, choosers) => HUBS_PART / choosers as f64,
-            (false, _) => (1.0 - HUBS_PART) / mesh.alive() as f64,
+        let mut membership = self.membership.borrow_mut();
+        let share = match (membership.is_hub(now), membership.selector_count(now)) {
+            (true, selectors) => HUBS_PART / selectors as f64,
+            (false, _) => (1.0 - HUBS_PART) / membership.alive() as f64,
         };
-        drop(mesh);
+        drop(membership);
         let bounds = self.bounds.borrow();
         let max_saved = (bounds.retry_extra * share * BUDGET_USED).max(1.0);
         self.router.borrow_mut().set_retries(RetrySettings {
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -16,7 +16,7 @@
     Planner,
     /// The daemons' addresses.
     Members,
-    /// Requests under which several upstreams ended.
+    /// Requests during which several upstreams crashed.
     Blocked,
 }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,10 +1,10 @@
-//! Exchanges the requests under which upstreams ended among daemons.
+//! Exchanges the requests during which upstreams crashed among daemons.
 //!
-//! A daemon that sees an upstream end under a request reports it at once to the daemon that chooses
-//! for the request and to all hubs, as any datagram may be lost and any hub may die. Where more
-//! than one upstream ended under the request, hubs send it to all daemons. Hubs send a digest of
-//! these requests with each tick. A daemon with a different digest sends its own notes and receives
-//! those that it lacks: one that has just started, was cut off, or missed a datagram.
+//! A daemon that sees an upstream crash during a request reports it at once to the daemon that
+//! selects for the request and to all hubs, as any datagram may be lost and any hub may fail. Where
+//! more than one upstream crashed during the request, hubs send it to all daemons. Hubs send a
+//! digest of these requests with each tick. A daemon with a different digest sends its own notes
+//! and receives those that it lacks: one that has just started, was cut off, or missed a datagram.
 //! `docs/CRASHES.md` compares the alternatives and their cost.
 
 use crate::crash_probe::SentAttempt;
@@ -25,11 +25,11 @@
 
 impl Gateway {
     /// Refuses a request that must not be sent at all, or not by this daemon alone. While the
-    /// daemon that chooses for a request does not answer, a request under which upstreams ended is
-    /// refused, since this daemon does not know where its other copies are.
+    /// daemon that selects for a request does not answer, a request during which upstreams crashed
+    /// is refused, since this daemon does not know where its other copies are.
     pub(crate) fn refuse_suspect(&self, ask: &RouteRequest, alone: bool) -> bool {
-        let ends = self.router.borrow().crash_count(ask);
-        let kind = match ends {
+        let crash_count = self.router.borrow().crash_count(ask);
+        let kind = match crash_count {
             0 => return false,
             MAX_CRASHES.. => ErrorKind::EndsUpstreams,
             _ if alone => ErrorKind::NoUpstream,
@@ -40,8 +40,8 @@
         true
     }
 
-    /// Records that an upstream ended under a request of this daemon, and reports it to the hubs.
-    /// The daemon that chose the upstream learns how the send ended.
+    /// Records that an upstream crashed during a request of this daemon, and reports it to the
+    /// hubs. The daemon that selected the upstream learns how the send ended.
     pub(crate) fn record_crash(&self, identity: Identity, sent: &SentAttempt) {
         let note = CrashNote {
             identity,
@@ -86,7 +86,7 @@
     fn log_status(&self, request: &Fingerprint) {
         let router = self.router.borrow();
         let (known, blocked) = router.crashes().counts();
-        self.metrics.note_suspects(known, blocked);
+        self.metrics.record_suspects(known, blocked);
         let event = match router.crashes().crash_count(request) {
             0 => LogEvent::RequestCleared,
             MAX_CRASHES.. => LogEvent::RequestBlocked,
@@ -96,10 +96,10 @@
     }
 
     fn broadcast_crashes(&self, from: Option<&Sender>, notes: &[CrashNote]) {
-        let (grave, slight): (Vec<&CrashNote>, Vec<&CrashNote>) =
+        let (repeated, single): (Vec<&CrashNote>, Vec<&CrashNote>) =
             notes.iter().partition(|n| n.ended.len() > 1);
-        self.send_notes(from, Audience::All, &grave);
-        self.send_notes(from, Audience::Hubs, &slight);
+        self.send_notes(from, Audience::All, &repeated);
+        self.send_notes(from, Audience::Hubs, &single);
     }
 
     fn send_notes(&self, from: Option<&Sender>, audience: Audience, notes: &[&CrashNote]) {
@@ -107,12 +107,12 @@
         if notes.is_empty() {
             return;
         }
-        let mut mesh = self.mesh.borrow_mut();
+        let mut membership = self.membership.borrow_mut();
         let targets = match from {
-            Some(from) => mesh.forward_targets(from, audience, now),
-            None => mesh.hub_broadcast_targets(audience, now),
+            Some(from) => membership.forward_targets(from, audience, now),
+            None => membership.hub_broadcast_targets(audience, now),
         };
-        drop(mesh);
+        drop(membership);
         for target in targets {
             self.send_crashes(target, notes.iter().copied(), false);
         }
@@ -148,7 +148,7 @@
     }
 
     /// Sends the notes that concern every daemon, or all notes to a new hub: the previous hub of
-    /// its data centre, which may be gone, knew of requests under which a single upstream ended.
+    /// its data centre, which may be gone, knew of requests during which a single upstream crashed.
     pub(crate) fn on_crashes_request(&self, from: &Sender, all: bool) {
         let router = self.router.borrow();
         let now = self.now();
--- a/crates/gateway/tests/unit/catalogue/cluster.rs
+++ b/crates/gateway/tests/unit/catalogue/cluster.rs
@@ -11,13 +11,13 @@
 use crate::orders::{announce_held, announce_retiring, record_sent_order};
 use crate::planner::{step, unconfirmed, PlannerState};
 use crate::planner_lease::{next_action, perform, release, should_release};
-use crate::request::{load_retry, note_demand, ADAPTER_RETRY, LOAD_RETRY};
+use crate::request::{load_retry, record_demand, ADAPTER_RETRY, LOAD_RETRY};
 use crate::roster::EntryRecord;
 use crate::start::run_tick;
 use crate::state::{EngineStart, Gateway, Platform};
 use crate::unit::crashes::cluster::{job, settings};
 use crate::unit::crashes::null_platform::StubCodec;
-use crate::unit::hand::ManualClock;
+use crate::unit::manual_clock::ManualClock;
 use crate::{CallerLimits, Entry, GatewaySettings, Head, ServiceRule, Table};
 use futures_util::FutureExt;
 use rand::rngs::SmallRng;
@@ -238,8 +238,8 @@
             .iter()
             .take(self.size.centres * self.size.strong);
         for other in strong.filter(|d| d.alive) {
-            gw.mesh.borrow_mut().learn_member(&other.gw.me, now);
-            other.gw.mesh.borrow_mut().learn_member(&gw.me, now);
+            gw.membership.borrow_mut().learn_member(&other.gw.me, now);
+            other.gw.membership.borrow_mut().learn_member(&gw.me, now);
         }
         let started = self.now();
         let daemon = Daemon {
@@ -554,7 +554,7 @@
         let (reply, done_at) = self.engines.accept_order(order, now);
         let key = (order.model.clone(), order.adapter.clone());
         let served = self.engines.serves(&key);
-        self.outcomes.note_order(&key, order, reply, served);
+        self.outcomes.record_order(&key, order, reply, served);
         let history = self.history.entry(key).or_default();
         history.push(format!("{now} {order}: {reply:?}"));
         gw.with_fleet(&order.engine, |f| f.record_reply(order, reply, gw.now()));
@@ -612,9 +612,9 @@
             is_retry,
             ..job(head, service(), gw.now())
         };
-        note_demand(gw, &request);
+        record_demand(gw, &request);
         let served = self.engines.serves(&key);
-        self.outcomes.note_caller(&key, is_retry, served);
+        self.outcomes.record_caller(&key, is_retry, served);
         let history = self.history.entry(key.clone()).or_default();
         history.push(format!("{now} requested retry={is_retry} served={served}"));
         let retry_after = match self.engines.serves(&(key.0.clone(), None)) {
@@ -622,8 +622,8 @@
             false => load_retry(gw, LOAD_RETRY),
         };
         match served {
-            true => gw.note_served(&request),
-            false => gw.note_unmet(&request, retry_after),
+            true => gw.record_served(&request),
+            false => gw.record_unmet(&request, retry_after),
         }
         let demand = self.demand.entry(key.clone()).or_insert(Demand {
             first: now,
--- a/crates/gateway/tests/unit/catalogue/outcomes.rs
+++ b/crates/gateway/tests/unit/catalogue/outcomes.rs
@@ -25,7 +25,7 @@
 
 impl Outcomes {
     /// Records an order, and whether any engine now serves the model or adapter that it is for.
-    pub fn note_order(&mut self, key: &Key, order: &Order, reply: OrderReply, served: bool) {
+    pub fn record_order(&mut self, key: &Key, order: &Order, reply: OrderReply, served: bool) {
         if order.adapter.is_some() && reply == OrderReply::Accepted {
             self.loads += 1;
             if !served {
@@ -37,7 +37,7 @@
     }
 
     /// Records a request of a caller.
-    pub fn note_caller(&mut self, key: &Key, is_retry: bool, served: bool) {
+    pub fn record_caller(&mut self, key: &Key, is_retry: bool, served: bool) {
         self.callers += usize::from(!is_retry);
         match (is_retry, served) {
             (true, true) => self.retried += 1,
--- a/crates/gateway/tests/unit/crashes/cluster.rs
+++ b/crates/gateway/tests/unit/crashes/cluster.rs
@@ -7,7 +7,7 @@
 mod servers;
 
 use super::null_platform;
-use crate::attempt::{note_failure, Failure};
+use crate::attempt::{record_failure, Failure};
 use crate::crash_probe::SentAttempt;
 use crate::gossip::{on_datagram, periodic_messages, Addressed};
 use crate::job::Job;
@@ -17,7 +17,7 @@
 use crate::selector::Selector;
 use crate::start::run_tick;
 use crate::state::{Gateway, Platform};
-use crate::unit::hand::ManualClock;
+use crate::unit::manual_clock::ManualClock;
 use crate::{Bounds, GatewaySettings, Head, Listen, Policy, Repeat, Revocation, RouteRule};
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -246,8 +246,8 @@
         let gw = gw.expect("a gateway");
         let now = gw.now();
         for other in &self.daemons {
-            other.gw.mesh.borrow_mut().learn_member(&gw.me, now);
-            gw.mesh.borrow_mut().learn_member(&other.gw.me, now);
+            other.gw.membership.borrow_mut().learn_member(&gw.me, now);
+            gw.membership.borrow_mut().learn_member(&other.gw.me, now);
         }
         let daemon = Daemon {
             gw,
@@ -299,11 +299,12 @@
     /// knows a hub.
     pub fn selector(&self) -> usize {
         let now = self.daemons[0].gw.now();
-        let selector_of = |d: &Daemon| match d.gw.mesh.borrow_mut().chooser("svc", |_| true, now) {
-            Selector::Remote(address) => Some(address),
-            Selector::Local => Some(d.address),
-            Selector::NoHub => None,
-        };
+        let selector_of =
+            |d: &Daemon| match d.gw.membership.borrow_mut().selector("svc", |_| true, now) {
+                Selector::Remote(address) => Some(address),
+                Selector::Local => Some(d.address),
+                Selector::NoHub => None,
+            };
         let address = self
             .daemons
             .iter()
@@ -362,7 +363,7 @@
         let gw = &self.daemons[call.daemon].gw;
         if let (Some(permit), Some(sent)) = (&mut call.permit, call.sent.take()) {
             permit.reached += 1;
-            note_failure(gw, &call.job, permit, &sent, failure);
+            record_failure(gw, &call.job, permit, &sent, failure);
         }
     }
 
--- a/crates/gateway/tests/unit/hand.rs
+++ b/crates/gateway/tests/unit/manual_clock.rs
@@ -1,4 +1,4 @@
-//! A clock that a test advances by hand.
+//! A clock that a test sets manually.
 
 use shaleline_edge::Time;
 use std::cell::Cell;
--- a/crates/gateway/tests/unit/choosing.rs
+++ b/crates/gateway/tests/unit/selection.rs
@@ -71,7 +71,7 @@
     waiting: Vec<(usize, RequestId, u64)>,
 }
 
-/// A simulated cluster: the daemons, the selector that chooses upstreams for them, and the
+/// A simulated cluster: the daemons, the selector that selects upstreams for them, and the
 /// upstreams.
 struct Cluster {
     now: u64,
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -8,7 +8,7 @@
 use crate::start::run_tick;
 use crate::state::{Gateway, Platform};
 use crate::unit::crashes::{cluster, null_platform};
-use crate::unit::hand::ManualClock;
+use crate::unit::manual_clock::ManualClock;
 use crate::Entry;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
--- a/crates/place/src/dispatch.rs
+++ b/crates/place/src/dispatch.rs
@@ -241,7 +241,7 @@
         };
         let recent = |s: &Sent| s.number == ledger.adopted && now.since(s.at) < RESEND_AFTER_MS;
         if !self.sent.get(&subject).is_some_and(recent) {
-            self.note_sent(subject, ledger.adopted, now);
+            self.record_sent(subject, ledger.adopted, now);
             self.ready.push(Order {
                 engine: engine.clone(),
                 number: ledger.adopted,
@@ -253,7 +253,7 @@
         None
     }
 
-    fn note_sent(&mut self, subject: Subject, number: Offset, at: Millis) {
+    fn record_sent(&mut self, subject: Subject, number: Offset, at: Millis) {
         self.sent.insert(subject, Sent { number, at });
     }
 
@@ -336,7 +336,7 @@
             _ => order_of(body, number),
         };
         if let Some(order) = order {
-            self.note_sent(subject, number, now);
+            self.record_sent(subject, number, now);
             self.ready.push(order);
         }
     }
--- a/crates/route/src/breaker.rs
+++ b/crates/route/src/breaker.rs
@@ -8,8 +8,8 @@
 const MAX_COOLDOWN_MS: u64 = 30_000;
 
 /// Counts consecutive failures. Hanging requests count while they hang, not when they time out:
-/// waiting for timeouts would keep a dead upstream in use for its whole timeout. `docs/ROUTING.md`
-/// has the measurement.
+/// waiting for timeouts would keep a dead upstream in use for its whole timeout, as the paper
+/// "Dead-channel isolation" observed. `docs/ROUTING.md` has the measurement.
 #[derive(Debug, Default)]
 pub(crate) struct Breaker {
     failures: u32,
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -1,9 +1,9 @@
-//! Requests under which upstreams crashed.
+//! Requests during which upstreams crashed.
 //!
 //! A request may crash each upstream that runs it, and may be repeated at any daemon. The upstream
 //! is not at fault then, and the next one that it is sent to crashes as well. Each upstream that
-//! ends while it runs a request is therefore recorded as a crash of that request, in every daemon;
-//! a successful answer clears the record.
+//! crashes while it runs a request is therefore recorded as a crash of that request, in every
+//! daemon; a successful answer clears the record.
 //!
 //! A whole batch of requests may be in flight at an upstream that crashes, and at most one of them
 //! caused it. The cause is the one that was present each time: an innocent request that is retried
@@ -48,7 +48,7 @@
 pub struct CrashNote {
     /// The request and its caller.
     pub identity: Identity,
-    /// The starts of upstreams that crashed under it.
+    /// The starts of upstreams that crashed during it.
     pub ended: BTreeSet<IncarnationTag>,
     /// The starts among `ended` that no longer count.
     pub cleared: BTreeSet<IncarnationTag>,
@@ -80,13 +80,13 @@
 pub struct CrashRecord {
     /// The request's fingerprint.
     pub request: Fingerprint,
-    /// The starts of upstreams that crashed under it and still count.
+    /// The starts of upstreams that crashed during it and still count.
     pub ended: Vec<IncarnationTag>,
     /// The time since the last crash.
     pub age: Millis,
 }
 
-/// The requests under which upstreams crashed, as known to this daemon.
+/// The requests during which upstreams crashed, as known to this daemon.
 #[derive(Debug, Default)]
 pub struct Crashes {
     known: BTreeMap<Fingerprint, CrashState>,
@@ -99,7 +99,7 @@
         self.known.get(request).map_or(0, CrashState::crash_count)
     }
 
-    /// Records a crash under a request. Returns the note to send to other daemons if the crash is
+    /// Records a crash during a request. Returns the note to send to other daemons if the crash is
     /// new.
     pub fn on_end(
         &mut self,
@@ -197,7 +197,7 @@
     }
 
     /// Returns the notes that every daemon needs: those of requests with more than one crash. A
-    /// request with a single crash is mostly a bystander, and only daemons that choose upstreams
+    /// request with a single crash is mostly a bystander, and only daemons that select upstreams
     /// need to know it.
     #[must_use]
     pub fn repeated(&self, now: Millis) -> Vec<CrashNote> {
--- a/crates/route/src/credit.rs
+++ b/crates/route/src/credit.rs
@@ -104,7 +104,7 @@
         }
         while let Some(allocator) = self.remaining.pop() {
             match credits.denied(allocator, &self.org, self.cost, now) {
-                Some(wait) => self.note_denied(wait),
+                Some(wait) => self.record_denied(wait),
                 None => {
                     self.queried = Some(allocator);
                     return GrantStep::Query(allocator);
@@ -117,7 +117,7 @@
         }
     }
 
-    fn note_denied(&mut self, wait: Millis) {
+    fn record_denied(&mut self, wait: Millis) {
         self.min_wait = Some(self.min_wait.map_or(wait, |s| s.min(wait)));
     }
 
@@ -135,7 +135,7 @@
                 GrantStep::Admit
             }
             GrantResponse::Denied(wait) => {
-                self.note_denied(wait);
+                self.record_denied(wait);
                 if let Some(allocator) = self.queried {
                     let until = now.plus(wait.0);
                     let cost = self.cost;
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -4,7 +4,7 @@
 //! at once, beside innocent requests that were in flight when an upstream crashed. Three rules
 //! bound the cost:
 //!
-//! * The upstreams that crashed under a request and those that run it now are at most
+//! * The upstreams that crashed during a request and those that run it now are at most
 //!   [`MAX_CRASHES`] together. Further copies go to an upstream that runs one already, or are
 //!   refused. A request thus crashes at most three upstreams, however many copies arrive before the
 //!   first crash.
@@ -132,7 +132,7 @@
         self.copies.prune(now);
     }
 
-    /// Records a crash of an upstream under a request.
+    /// Records a crash of an upstream during a request.
     pub(crate) fn record_crash(
         &mut self,
         identity: Option<Identity>,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,4 +1,4 @@
-//! Admission, fair queues, limits, choice of upstream, retries and breakers.
+//! Admission, fair queues, limits, selection of upstreams, retries and breakers.
 //!
 //! [`Router`] makes the decisions: it takes a [`RouteEvent`] and the time and returns
 //! [`RouteAction`]s. It holds no clock and no socket; the daemon and the experiments drive the same
@@ -11,9 +11,9 @@
 //! * A request that can't start at once waits in a queue per route; urgent requests come first,
 //!   then organisations in weighted fair order. A request that can't meet its target is refused at
 //!   once.
-//! * An upstream is chosen by its reported load, what this daemon has sent it since, and the
+//! * An upstream is selected by its reported load, what this daemon has sent it since, and the
 //!   prefixes it may have cached ([`prefix_chain`]).
-//! * A request under which upstreams crashed is tracked ([`Crashes`]) and not sent any more after
+//! * A request during which upstreams crashed is tracked ([`Crashes`]) and not sent any more after
 //!   three crashes.
 //! * An answer counts only for the attempt that it belongs to.
 //!
@@ -23,7 +23,6 @@
 mod allowance;
 mod breaker;
 mod bucket;
-mod choose;
 mod crashes;
 mod credit;
 mod drain;
@@ -36,6 +35,7 @@
 mod request;
 mod retry;
 mod router;
+mod select;
 mod settings;
 mod share;
 mod stats;
@@ -45,7 +45,6 @@
 
 pub use allocator::{Allocator, AllocatorShare, GrantResponse};
 pub use allowance::{Allowance, Tolerance};
-pub use choose::ChoicePolicy;
 pub use crashes::{CrashNote, CrashRecord, Crashes, MAX_CRASHES};
 pub use credit::{Credits, GrantRequest, GrantStep};
 pub use drain::{Drain, DrainAction, Unfinished};
@@ -57,6 +56,7 @@
 };
 pub use retry::RetrySettings;
 pub use router::Router;
+pub use select::ChoicePolicy;
 pub use settings::{PeerVisibility, RouterSettings};
 pub use share::{share_of, ShareBook};
 pub use stats::{RouterStats, UpstreamStats};
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -38,7 +38,7 @@
 }
 
 impl PrefixHints {
-    pub(crate) fn note(&mut self, blocks: &[u64]) {
+    pub(crate) fn record(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.clock += 1;
             if let Some(old) = self.by_hash.insert(*block, self.clock) {
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -151,7 +151,7 @@
     Refused,
     /// The connection failed after the request was written.
     Broken,
-    /// The upstream ended while it ran the request.
+    /// The upstream crashed while it ran the request.
     UpstreamEnded(IncarnationTag),
     /// The caller disconnected.
     Cancelled,
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,12 +1,12 @@
 //! The router's core: admission and dispatch. The module `ending` handles how sends end, and
 //! `waiting` handles requests that wait or hang.
 
-use crate::choose::{sample_by_cost, Chooser};
 use crate::estimate::TokenCosts;
 use crate::isolation::Copies;
 use crate::limit::Limiter;
 use crate::queue::{QueuedRequest, RouteQueue};
 use crate::retry::RetryBudget;
+use crate::select::{sample_by_cost, CostModel};
 use crate::upstream::{InFlight, UpstreamState};
 use crate::{
     AttemptNumber, CrashNote, Crashes, LimitKind, Limits, PeerVisibility, RetrySettings, Route,
@@ -155,7 +155,7 @@
             RouteEvent::Removed(upstream) => self.removed(&upstream, now, &mut out),
             RouteEvent::Cached { upstream, blocks } => {
                 if let Some(state) = self.upstreams.get_mut(&upstream) {
-                    state.hints.note(&blocks);
+                    state.hints.record(&blocks);
                 }
             }
             RouteEvent::Tick => self.tick(now, &mut out),
@@ -264,7 +264,7 @@
         let ahead = queue.map_or(0, |q| q.ahead(request.priority, &request.org));
         let repeat = open.attempt > 0;
         if ahead == 0 || repeat {
-            if let Some(upstream) = self.choose(open, now) {
+            if let Some(upstream) = self.select(open, now) {
                 self.send(id, &upstream, now, out);
                 return;
             }
@@ -278,7 +278,7 @@
             due: request.start_by(now),
         };
         let (route, priority, org) = (request.route.clone(), request.priority, request.org.clone());
-        let eligible = self.choose(open, now);
+        let eligible = self.select(open, now);
         let queue = self.queues.entry(route).or_default();
         queue.push(priority, &org, queued, repeat);
         if let Some(upstream) = eligible {
@@ -286,8 +286,8 @@
         }
     }
 
-    pub(crate) fn chooser(&self, request: &RouteRequest, now: Millis) -> Chooser<'_> {
-        Chooser {
+    pub(crate) fn cost_model(&self, request: &RouteRequest, now: Millis) -> CostModel<'_> {
+        CostModel {
             choice: self.settings.choice,
             home: &self.settings.home,
             send_count: self.send_count,
@@ -297,14 +297,14 @@
         }
     }
 
-    pub(crate) fn choose(&self, open: &OpenRequest, now: Millis) -> Option<Upstream> {
+    pub(crate) fn select(&self, open: &OpenRequest, now: Millis) -> Option<Upstream> {
         let request = &open.request;
-        let chooser = self.chooser(request, now);
+        let cost_model = self.cost_model(request, now);
         let fits = |(name, b): &(&Upstream, &UpstreamState)| {
             b.routes.contains(&request.route)
                 && b.has_free_slot_for(&request.org, now)
                 && !b.is_refusing(&request.route, now)
-                && chooser.allows(b, request)
+                && cost_model.allows(b, request)
                 && self.may_send_to(request, name, b)
         };
         let eligible: Vec<(&Upstream, &UpstreamState)> =
@@ -313,7 +313,7 @@
         let untried = eligible.iter().any(|(u, _)| is_untried(u));
         let count = eligible.len();
         let costs = eligible.iter().enumerate().map(|(i, (name, state))| {
-            let cost = chooser.cost(state, request, i, count);
+            let cost = cost_model.cost(state, request, i, count);
             (*name, cost)
         });
         let costs = costs.filter(|(name, _)| !untried || is_untried(name));
@@ -333,10 +333,10 @@
         let (Some(open), Some(state)) = (self.open.get(&id), self.upstreams.get(upstream)) else {
             return;
         };
-        let chooser = self.chooser(&open.request, now);
+        let cost_model = self.cost_model(&open.request, now);
         let (prompt_ms, expected) = (
-            chooser.prompt_ms(state, &open.request),
-            chooser.first_byte_ms(state, &open.request),
+            cost_model.prompt_ms(state, &open.request),
+            cost_model.first_byte_ms(state, &open.request),
         );
         let (Some(open), Some(state)) = (self.open.get_mut(&id), self.upstreams.get_mut(upstream))
         else {
@@ -367,7 +367,7 @@
             expected,
         };
         let cost = open.request.cost as f64 / open.request.weight.max(1) as f64;
-        state.hints.note(&open.request.prefix);
+        state.hints.record(&open.request.prefix);
         state.on_send(id, send, cost);
         out.push(RouteAction::Send {
             id,
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/select.rs
@@ -1,10 +1,10 @@
-//! The choice among the upstreams that have free slots.
+//! Selection among the upstreams that have free slots.
 
 use crate::upstream::UpstreamState;
 use crate::RouteRequest;
 use shaleline_types::{DataCentre, Millis, Upstream};
 
-/// How upstreams are chosen. All but `Expected` are baselines for comparison.
+/// How upstreams are selected. All but `Expected` are baselines for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ChoicePolicy {
     /// By expected time, from this daemon's sends on top of the reported load, cached prefixes and
@@ -28,12 +28,12 @@
 /// The cost of a failure to the caller: the time until it retries.
 const FAILURE_MS: f64 = 2_000.0;
 
-/// Draws an upstream at random, weighted by cost: a cheaper upstream is more likely, and none is
-/// drawn that costs `unseen` more than the cheapest.
+/// Selects an upstream at random, weighted by cost: a cheaper upstream is more likely, and none is
+/// selected that costs `unseen` more than the cheapest.
 ///
 /// What other daemons have sent most recently is not known yet. If all of them sent to the upstream
-/// that looks cheapest, it would be overloaded. Each upstream is therefore drawn in proportion to
-/// the unseen work that would level its cost with the others.
+/// that looks cheapest, it would be overloaded. Each upstream is therefore selected in
+/// proportion to the unseen work that would level its cost with the others.
 pub(crate) fn sample_by_cost<'a>(
     costs: &[(&'a Upstream, f64)],
     unseen: f64,
@@ -54,7 +54,7 @@
 }
 
 /// Computes the cost of upstreams for one request; the lowest cost is best.
-pub(crate) struct Chooser<'a> {
+pub(crate) struct CostModel<'a> {
     pub(crate) choice: ChoicePolicy,
     pub(crate) home: &'a DataCentre,
     pub(crate) send_count: u64,
@@ -65,7 +65,7 @@
     pub(crate) now: Millis,
 }
 
-impl Chooser<'_> {
+impl CostModel<'_> {
     pub(crate) fn cost(
         &self,
         state: &UpstreamState,
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -38,7 +38,7 @@
     pub stall_timeout: Millis,
     /// The most sends of a request.
     pub max_attempts: AttemptNumber,
-    /// How upstreams are chosen.
+    /// How upstreams are selected.
     pub choice: ChoicePolicy,
     /// Whether requests that can't meet their target are refused early.
     pub shed: bool,
--- a/crates/route/src/waiting.rs
+++ b/crates/route/src/waiting.rs
@@ -53,7 +53,7 @@
         let allowed = heads.filter(|h| {
             let open = self.open.get(&h.id);
             let in_time =
-                open.is_none_or(|o| self.chooser(&o.request, now).allows(state, &o.request));
+                open.is_none_or(|o| self.cost_model(&o.request, now).allows(state, &o.request));
             let refusing = open.is_some_and(|o| state.is_refusing(&o.request.route, now));
             // After a suspension the deadline may have passed before the next tick fails it.
             let due = open.is_none_or(|o| o.request.due > now);
@@ -159,7 +159,7 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let elsewhere = self.choose(open, now).filter(|u| u != from);
+        let elsewhere = self.select(open, now).filter(|u| u != from);
         let max_attempts = open
             .request
             .policy
--- a/crates/route/tests/allowance.rs
+++ b/crates/route/tests/allowance.rs
@@ -225,7 +225,7 @@
     assert_eq!(credits.held(&org()), 0);
 }
 
-/// One event in the life of allocators and daemons.
+/// One event at an allocator or a daemon.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// Time passes.
