--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -118,7 +118,7 @@
     }
 
     /// Converts it to a request of this daemon's router, under a number of its own.
-    pub(crate) fn into_ask(
+    pub(crate) fn into_route_request(
         self,
         id: RequestId,
         org: Org,
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -71,7 +71,7 @@
     /// How well this daemon knows what the others send. Arrivals at an upstream since their last
     /// reports are unknown, except this daemon's own share; a hub itself sends what it selects for
     /// all.
-    fn sight(&self) -> PeerVisibility {
+    fn peer_visibility(&self) -> PeerVisibility {
         let now = self.now();
         let age = self.report_interval().0 as f64;
         let mut membership = self.membership.borrow_mut();
@@ -100,8 +100,8 @@
 pub(crate) fn periodic_messages(gw: &Gateway) -> Addressed {
     gw.share_budget();
     gw.share_allowances();
-    let sight = gw.sight();
-    gw.router.borrow_mut().set_peer_visibility(sight);
+    let visibility = gw.peer_visibility();
+    gw.router.borrow_mut().set_peer_visibility(visibility);
     let now = gw.now();
     let report = load_report(gw);
     let position = gw.reading.borrow().read_position(now);
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -147,7 +147,7 @@
     }
 
     /// The router's view of the request; `served` is whether some upstream serves the model.
-    pub(crate) fn to_ask(&self, id: RequestId, served: bool) -> RouteRequest {
+    pub(crate) fn to_route_request(&self, id: RequestId, served: bool) -> RouteRequest {
         let (prefix, block_sizes) = self.prefix();
         let (least, most) = STALL_BOUNDS_MS;
         let stall = (self.rule.target.0 * STALL_TARGETS).clamp(least, most);
--- a/crates/gateway/src/planner.rs
+++ b/crates/gateway/src/planner.rs
@@ -47,14 +47,14 @@
     last_fence: Cell<Option<u64>>,
     /// Engines to which the previous planner recently gave an order, and until when they get no new
     /// one.
-    resting: RefCell<BTreeMap<Upstream, Millis>>,
+    cooldowns: RefCell<BTreeMap<Upstream, Millis>>,
     /// When this daemon took over from a planner that had failed.
     last_takeover: Cell<Option<Millis>>,
     /// Until when copies may be spread before the first traffic: the end of the time in which loads
     /// begin, and of the time in which engines restore what they held.
     initial_spread: Cell<Option<(Millis, Millis)>>,
     /// Whether this daemon held the lease at the last check.
-    leading: Cell<bool>,
+    was_holder: Cell<bool>,
     /// When this daemon planned last.
     last_plan: Cell<Millis>,
     /// When it last logged the knowledge that it plans by.
@@ -141,7 +141,7 @@
 ) -> Option<Vec<(Service, Order)>> {
     let now = gw.now();
     let fence = gw.planner_lease.borrow().fence(now);
-    if fence.is_some() != state.leading.replace(fence.is_some()) {
+    if fence.is_some() != state.was_holder.replace(fence.is_some()) {
         let event = match fence {
             Some(_) => LogEvent::LeaseTaken,
             None => LogEvent::LeaseLost,
@@ -193,7 +193,7 @@
 
 /// Starts from the state of the previous planner. One that stopped has stored its last orders. One
 /// that fell silent may have used up the load window until its lease lapsed, which is as long ago
-/// as an engine rests. The first planner of all has no predecessor.
+/// as the cooldown of an engine. The first planner of all has no predecessor.
 fn on_lease_acquired(gw: &Gateway, state: &PlannerState, fence: Option<u64>) {
     if fence == state.last_fence.replace(fence) {
         // The lease had lapsed briefly, and no other daemon held it meanwhile.
@@ -211,14 +211,14 @@
         window = window.resume(&inherited.last, inherited.read);
         let mut ordered = gw.last_orders.borrow_mut();
         ordered.inherit(&inherited.last, inherited.read);
-        let resting = ordered.cooldowns(gw.planner_lease.borrow().cooldown(), now);
+        let cooldowns = ordered.cooldowns(gw.planner_lease.borrow().cooldown(), now);
         let detail = format!(
             "resting={} loads={}",
-            resting.len(),
+            cooldowns.len(),
             inherited.last.loads.len()
         );
         emit(LogEvent::LeaseInherited, &detail);
-        *state.resting.borrow_mut() = resting;
+        *state.cooldowns.borrow_mut() = cooldowns;
     } else {
         state.last_takeover.set(Some(now));
         let lapsed = gw.planner_lease.borrow().cooldown();
@@ -280,8 +280,8 @@
     };
     let mut planners = state.planners.borrow_mut();
     let mut notes = Vec::new();
-    state.resting.borrow_mut().retain(|_, until| *until > now);
-    let resting = state.resting.borrow();
+    state.cooldowns.borrow_mut().retain(|_, until| *until > now);
+    let cooldowns = state.cooldowns.borrow();
     for service in table.services.keys() {
         let Some(catalog) = table.catalog(service) else {
             continue;
@@ -307,7 +307,7 @@
             fence,
             holder: gw.me.instance.as_str(),
             warmup: state.lead_time(rates.is_empty(), now),
-            cooldowns: &resting,
+            cooldowns: &cooldowns,
             after_failure: state.recently_took_over(now),
         };
         let (planned, reasons) = planners.plan(service, &view, window, now);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -77,7 +77,7 @@
         };
         let base = job.base();
         let served = base.is_none_or(|b| gw.router.borrow().is_served(&b));
-        gw.request_upstream(job.to_ask(id, served));
+        gw.request_upstream(job.to_route_request(id, served));
         permit
     }
 
--- a/crates/gateway/src/selection.rs
+++ b/crates/gateway/src/selection.rs
@@ -25,20 +25,20 @@
 
 impl Gateway {
     /// Requests an upstream, from the local router or from a hub.
-    pub(crate) fn request_upstream(&self, ask: RouteRequest) {
+    pub(crate) fn request_upstream(&self, request: RouteRequest) {
         let now = self.now();
         let available = |hub| self.delegated.borrow().is_available(hub, now);
-        let key = sharing_key(&ask.route);
+        let key = sharing_key(&request.route);
         let selector = self.membership.borrow_mut().selector(key, available, now);
-        if self.refuse_suspect(&ask, selector == Selector::NoHub) {
+        if self.refuse_suspect(&request, selector == Selector::NoHub) {
             return;
         }
         match selector {
             Selector::Remote(to) => {
-                let message = self.delegated.borrow_mut().ask(ask, to, now);
+                let message = self.delegated.borrow_mut().ask(request, to, now);
                 self.send(vec![(to, message)]);
             }
-            Selector::Local | Selector::NoHub => self.route(RouteEvent::Arrive(Box::new(ask))),
+            Selector::Local | Selector::NoHub => self.route(RouteEvent::Arrive(Box::new(request))),
         }
     }
 
@@ -107,7 +107,7 @@
             match step {
                 Step::Send(to, message) => self.send(vec![(to, *message)]),
                 // The next hub is asked if there is one; each hub has its own time to answer.
-                Step::SelectHere(ask) => self.request_upstream(*ask),
+                Step::SelectHere(request) => self.request_upstream(*request),
                 Step::Fail(id) => self.deliver(&RouteAction::Refuse {
                     id,
                     kind: ErrorKind::UpstreamFailed,
@@ -165,8 +165,8 @@
                 .borrow_mut()
                 .open(ticket, from.address, id, now);
             self.first_request.notify_one();
-            let ask = note.into_ask(id, org(), LIMITS, now);
-            self.route(RouteEvent::Arrive(Box::new(ask)));
+            let request = note.into_route_request(id, org(), LIMITS, now);
+            self.route(RouteEvent::Arrive(Box::new(request)));
             // The router's decision has been sent as the answer already.
             if self.peer_requests.borrow_mut().answer(ticket, now) != Answer::Queued {
                 return;
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -27,15 +27,15 @@
     /// Refuses a request that must not be sent at all, or not by this daemon alone. While the
     /// daemon that selects for a request does not answer, a request during which upstreams crashed
     /// is refused, since this daemon does not know where its other copies are.
-    pub(crate) fn refuse_suspect(&self, ask: &RouteRequest, alone: bool) -> bool {
-        let crash_count = self.router.borrow().crash_count(ask);
+    pub(crate) fn refuse_suspect(&self, request: &RouteRequest, alone: bool) -> bool {
+        let crash_count = self.router.borrow().crash_count(request);
         let kind = match crash_count {
             0 => return false,
             MAX_CRASHES.. => ErrorKind::EndsUpstreams,
             _ if alone => ErrorKind::NoUpstream,
             _ => return false,
         };
-        let (id, retry) = (ask.id, None);
+        let (id, retry) = (request.id, None);
         self.deliver(&RouteAction::Refuse { id, kind, retry });
         true
     }
--- a/crates/gateway/tests/unit/job.rs
+++ b/crates/gateway/tests/unit/job.rs
@@ -94,7 +94,7 @@
 
 #[test]
 fn the_request_to_the_router_carries_the_limits() {
-    let request = job(CHAT, false).to_ask(RequestId(1), true);
+    let request = job(CHAT, false).to_route_request(RequestId(1), true);
     assert_eq!(request.policy.max_wait, Some(Millis(300)));
     assert_eq!(request.policy.backlog_limit, Some(Millis(125)));
     assert_eq!(request.due, NOW.plus(9_000));
--- a/crates/gateway/tests/unit/selection.rs
+++ b/crates/gateway/tests/unit/selection.rs
@@ -220,7 +220,7 @@
                     self.next += 1;
                     let id = RequestId(self.next);
                     self.selector.open(ticket, selector_address(), id, now);
-                    let request = request_note.into_ask(id, org(), LIMITS, now);
+                    let request = request_note.into_route_request(id, org(), LIMITS, now);
                     self.route(RouteEvent::Arrive(Box::new(request)));
                 }
                 let answer = self.selector.answer(ticket, now);
