--- a/crates/gateway/src/selection.rs
+++ b/crates/gateway/src/selection.rs
@@ -25,20 +25,20 @@
 
 impl Gateway {
     /// Requests an upstream, from the local router or from a hub.
-    pub(crate) fn request_upstream(&self, ask: RouteRequest) {
+    pub(crate) fn request_upstream(&self, request: RouteRequest) {
         let now = self.now();
         let available = |hub| self.delegated.borrow().is_available(hub, now);
-        let key = sharing_key(&ask.route);
-        let selector = self.mesh.borrow_mut().chooser(key, available, now);
-        if self.refuse_suspect(&ask, selector == Selector::NoHub) {
+        let key = sharing_key(&request.route);
+        let selector = self.membership.borrow_mut().selector(key, available, now);
+        if self.refuse_suspect(&request, selector == Selector::NoHub) {
             return;
         }
         match selector {
             Selector::Remote(to) => {
-                let message = self.delegated.borrow_mut().ask(ask, to, now);
+                let message = self.delegated.borrow_mut().ask(request, to, now);
                 self.send(vec![(to, message)]);
             }
-            Selector::Local | Selector::NoHub => self.route(RouteEvent::Arrive(Box::new(ask))),
+            Selector::Local | Selector::NoHub => self.route(RouteEvent::Arrive(Box::new(request))),
         }
     }
 
@@ -107,7 +107,7 @@
             match step {
                 Step::Send(to, message) => self.send(vec![(to, *message)]),
                 // The next hub is asked if there is one; each hub has its own time to answer.
-                Step::SelectHere(ask) => self.request_upstream(*ask),
+                Step::SelectHere(request) => self.request_upstream(*request),
                 Step::Fail(id) => self.deliver(&RouteAction::Refuse {
                     id,
                     kind: ErrorKind::UpstreamFailed,
@@ -165,8 +165,8 @@
                 .borrow_mut()
                 .open(ticket, from.address, id, now);
             self.first_request.notify_one();
-            let ask = note.into_ask(id, org(), LIMITS, now);
-            self.route(RouteEvent::Arrive(Box::new(ask)));
+            let request = note.into_route_request(id, org(), LIMITS, now);
+            self.route(RouteEvent::Arrive(Box::new(request)));
             // The router's decision has been sent as the answer already.
             if self.peer_requests.borrow_mut().answer(ticket, now) != Answer::Queued {
                 return;
@@ -192,7 +192,7 @@
             ProgressNote::Ended(attempt, end) => {
                 let end = end.to_end();
                 if end == AttemptEnd::NotSent {
-                    self.note_refused_connection(id);
+                    self.record_refused_connection(id);
                 }
                 self.peer_requests.borrow_mut().set_queued(id);
                 self.route(RouteEvent::Ended { id, attempt, end });
@@ -204,7 +204,7 @@
     }
 
     /// Records that an engine refused another daemon's connection.
-    fn note_refused_connection(&self, id: RequestId) {
+    fn record_refused_connection(&self, id: RequestId) {
         let at = self.router.borrow().upstream_of(id).cloned();
         if let Some(at) = at {
             self.with_fleet(&at, |f| f.record_unreachable(&at, self.now()));
@@ -285,7 +285,7 @@
 
     /// Stops selecting for other daemons, because this daemon stops.
     pub(crate) fn resign(&self) {
-        let receivers = self.mesh.borrow_mut().resign(self.now());
+        let receivers = self.membership.borrow_mut().resign(self.now());
         let messages = receivers.into_iter().map(|t| (t, Message::Resigned));
         self.send(messages.collect());
     }
