--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use serde_json::json;
-use shaleline_border::Generate;
+use shaleline_border::GenerateRequest;
 use shaleline_place::Item;
 use shaleline_types::{Model, RequestId};
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     async fn ask(&self, client: &Client, number: u64) -> Result<()> {
         let sent = match self {
             Self::Engine(address) => {
-                let request = Generate {
+                let request = GenerateRequest {
                     id: RequestId(number),
                     attempt: 1,
                     item: Item::base(&Model::from_text(MODEL)?, 1),
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -1,7 +1,7 @@
 //! How many rounds of heartbeats news takes to reach every daemon, and what a round costs.
 
 use serde::Serialize;
-use shaleline_peer::{Member, MemberId, MemberSettings, Members};
+use shaleline_peer::{Member, MemberId, MemberSettings, Membership};
 use shaleline_types::{DataCentre, Instance, Millis, Offset, WriterId};
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -31,21 +31,21 @@
     Member {
         id: MemberId {
             instance: Instance::from_text(&format!("entry-{number}")).expect("the name is valid"),
-            born: 1_700_000_000_000,
+            incarnation: 1_700_000_000_000,
         },
         writer: WriterId(number as u64 + 1),
         centre: DataCentre::from_text(&format!("dc{}", number % 27)).expect("the name is valid"),
         peer: format!("10.0.{}.{}:7400", number / 250, number % 250),
         caller: format!("10.0.{}.{}:7500", number / 250, number % 250),
-        beat: 0,
+        round: 0,
         config: Offset(0),
         leaving: false,
-        denials: 0,
+        refutations: 0,
     }
 }
 
 struct Net {
-    all: Vec<Members>,
+    all: Vec<Membership>,
     by_address: BTreeMap<String, usize>,
     listed: Vec<String>,
     bytes: u64,
@@ -60,7 +60,7 @@
             .collect::<Vec<_>>()
         {
             let started = Instant::now();
-            let message = self.all[i].beat();
+            let message = self.all[i].begin_round();
             let text = serde_json::to_string(&message).unwrap_or_default();
             let targets = self.all[i].targets(&self.listed);
             for to in targets
@@ -69,8 +69,8 @@
                 .collect::<Vec<_>>()
             {
                 if self.dead == Some(to) {
-                    let address = self.all[to].me().peer.clone();
-                    self.all[i].on_failure(&address, now);
+                    let address = self.all[to].local().peer.clone();
+                    self.all[i].on_call_failure(&address, now);
                     continue;
                 }
                 let Ok(message) = serde_json::from_str(&text) else {
@@ -79,7 +79,7 @@
                 let answer = self.all[to].on_heartbeat(&message, now);
                 let back = serde_json::to_string(&answer).unwrap_or_default();
                 self.bytes += (text.len() + back.len()) as u64;
-                self.all[i].on_answer(&answer, now);
+                self.all[i].on_response(&answer, now);
             }
             self.all[i].tick(now);
             self.all[i].take_events();
@@ -99,7 +99,7 @@
         listed: members.iter().map(|m| m.peer.clone()).collect(),
         all: members
             .into_iter()
-            .map(|m| Members::new(MemberSettings::default(), m))
+            .map(|m| Membership::new(MemberSettings::default(), m))
             .collect(),
         bytes: 0,
         busy: 0.0,
@@ -128,9 +128,9 @@
         .unwrap_or(0);
     let (bytes, busy) = (net.bytes, net.busy);
     net.dead = Some(daemons / 2);
-    let victim = net.all[daemons / 2].me().writer;
+    let victim = net.all[daemons / 2].local().writer;
     let mut death = 0;
-    let knows = |(i, m): (usize, &Members)| i == daemons / 2 || !m.is_alive(victim);
+    let knows = |(i, m): (usize, &Membership)| i == daemons / 2 || !m.is_alive(victim);
     while death < MOST_ROUNDS && !net.all.iter().enumerate().all(knows) {
         death += 1;
         now = now.plus(ROUND_MS);
--- a/crates/border/src/engine.rs
+++ b/crates/border/src/engine.rs
@@ -10,7 +10,7 @@
 
 /// A request to generate.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Generate {
+pub struct GenerateRequest {
     /// The request.
     pub id: RequestId,
     /// Its attempt; answers are matched by both.
@@ -32,7 +32,7 @@
 /// One event of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Piece {
+pub enum GenerateEvent {
     /// A token.
     Token {
         /// Its position in the answer, from 0.
@@ -71,7 +71,7 @@
 impl std::error::Error for SendError {}
 
 /// The events of an answer as they come.
-pub type PieceStream = LocalBoxStream<'static, Result<Piece, SendError>>;
+pub type GenerateStream = LocalBoxStream<'static, Result<GenerateEvent, SendError>>;
 
 /// Model engines, each by its address.
 pub trait Engines {
@@ -92,8 +92,8 @@
     fn generate<'a>(
         &'a self,
         address: &'a str,
-        request: &'a Generate,
-    ) -> LocalBoxFuture<'a, Result<PieceStream, SendError>>;
+        request: &'a GenerateRequest,
+    ) -> LocalBoxFuture<'a, Result<GenerateStream, SendError>>;
 
     /// Gives up an attempt. Nothing waits for the outcome.
     fn cancel<'a>(
--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -15,7 +15,7 @@
 mod report;
 mod service;
 
-pub use engine::{Engines, Generate, Piece, PieceStream, SendError};
-pub use list::{InstanceKind, InstanceList, ListError, Listed};
+pub use engine::{Engines, GenerateEvent, GenerateRequest, GenerateStream, SendError};
+pub use list::{InstanceKind, InstanceList, ListError, ListedInstance};
 pub use report::{CacheEvents, UpstreamReport};
-pub use service::{ServiceAnswer, ServiceCall, Services};
+pub use service::{ServiceCall, ServiceResponse, Services};
--- a/crates/border/src/list.rs
+++ b/crates/border/src/list.rs
@@ -19,7 +19,7 @@
 
 /// One line of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedInstance {
     /// The instance's or upstream's name.
     pub name: String,
     /// What runs there.
@@ -54,5 +54,5 @@
     ///
     /// # Errors
     /// [`ListError`] where it does not answer.
-    fn list(&self) -> LocalBoxFuture<'_, Result<Vec<Listed>, ListError>>;
+    fn list(&self) -> LocalBoxFuture<'_, Result<Vec<ListedInstance>, ListError>>;
 }
--- a/crates/border/src/service.rs
+++ b/crates/border/src/service.rs
@@ -20,7 +20,7 @@
 
 /// A plain service's whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
@@ -37,5 +37,5 @@
         &'a self,
         address: &'a str,
         call: &'a ServiceCall,
-    ) -> LocalBoxFuture<'a, Result<ServiceAnswer, SendError>>;
+    ) -> LocalBoxFuture<'a, Result<ServiceResponse, SendError>>;
 }
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -188,7 +188,7 @@
         if behind.is_empty() || core.now() >= until {
             return behind.iter().map(|m| m.id.instance.to_string()).collect();
         }
-        let message = core.members().beat();
+        let message = core.members().begin_round();
         let asked = behind.iter().take(ASKED_AT_ONCE);
         let asked = asked.filter_map(|m| Some((&m.peer, peers.client(&m.peer)?)));
         let calls = asked.map(|(to, client)| beat(core, to, client, message.clone()));
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -10,7 +10,7 @@
 use actix_web::web::{Data, Path, Payload};
 use actix_web::{HttpRequest, HttpResponse};
 use serde::Deserialize;
-use shaleline_border::{SendError, ServiceAnswer, ServiceCall, Services};
+use shaleline_border::{SendError, ServiceCall, ServiceResponse, Services};
 use shaleline_config::Tenant;
 use shaleline_route::{AttemptEnd, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest};
 use shaleline_types::{Error, ErrorKind, Millis, Outcome, RequestId, Result, Service, Upstream};
@@ -139,7 +139,7 @@
     services: &dyn Services,
     job: &Job,
     upstream: &Upstream,
-) -> std::result::Result<ServiceAnswer, SendError> {
+) -> std::result::Result<ServiceResponse, SendError> {
     let address = core
         .directory
         .read()
@@ -152,7 +152,7 @@
 }
 
 /// The answer of a service as the caller gets it.
-fn answer_response(answer: &ServiceAnswer, id: RequestId) -> HttpResponse {
+fn answer_response(answer: &ServiceResponse, id: RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
     mark(&mut response, Outcome::Run, id);
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -12,7 +12,7 @@
 use shaleline_config::{ConfigMachine, View};
 use shaleline_log::AppendBudget;
 use shaleline_once::OnceMachine;
-use shaleline_peer::{Member, MemberId, MemberSettings, Members};
+use shaleline_peer::{Member, MemberId, MemberSettings, Membership};
 use shaleline_place::{CellMachine, Demand};
 use shaleline_route::{RouteAction, RouteEvent, Router, RouterSettings, ShareBook};
 use shaleline_types::{Error, ErrorKind, LogEvent, Millis, Model, Offset, RequestId, WriterId};
@@ -48,7 +48,7 @@
     pub(crate) directory: RwLock<Directory>,
     router: Mutex<Router>,
     requests: Mutex<HashMap<RequestId, ActionSender>>,
-    members: Mutex<Members>,
+    members: Mutex<Membership>,
     view: RwLock<Arc<View>>,
     remote_demand: Mutex<BTreeMap<WriterId, RemoteDemand>>,
     budget: SharedBudget,
@@ -68,16 +68,16 @@
         let me = Member {
             id: MemberId {
                 instance: settings.instance.clone(),
-                born: Clock::wall().0,
+                incarnation: Clock::wall().0,
             },
             writer,
             centre: settings.centre.clone(),
             peer: settings.peer.to_string(),
             caller: settings.listen.to_string(),
-            beat: 0,
+            round: 0,
             config: Offset(0),
             leaving: false,
-            denials: 0,
+            refutations: 0,
         };
         let router = Router::new(
             RouterSettings {
@@ -101,7 +101,7 @@
             directory: RwLock::new(Directory::default()),
             router: Mutex::new(router),
             requests: Mutex::new(HashMap::new()),
-            members: Mutex::new(Members::new(MemberSettings::default(), me)),
+            members: Mutex::new(Membership::new(MemberSettings::default(), me)),
             view: RwLock::new(Arc::new(View::default())),
             remote_demand: Mutex::new(BTreeMap::new()),
             budget,
@@ -123,7 +123,7 @@
         self.router.lock().expect("no holder panics")
     }
 
-    pub(crate) fn members(&self) -> MutexGuard<'_, Members> {
+    pub(crate) fn members(&self) -> MutexGuard<'_, Membership> {
         self.members.lock().expect("no holder panics")
     }
 
@@ -315,7 +315,7 @@
         let (names, me): (Vec<String>, String) = {
             let members = self.members();
             let names = members.alive().map(|m| m.id.instance.to_string());
-            (names.collect(), members.me().id.instance.to_string())
+            (names.collect(), members.local().id.instance.to_string())
         };
         let count = names.len().max(1) as u64;
         let rate = (self.settings.log_rate / count).max(1);
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -3,7 +3,7 @@
 use crate::completion::Completion;
 use crate::core::{Core, InFlight};
 use futures_util::StreamExt;
-use shaleline_border::{Engines, Generate, Piece, PieceStream, SendError};
+use shaleline_border::{Engines, GenerateEvent, GenerateRequest, GenerateStream, SendError};
 use shaleline_config::Tenant;
 use shaleline_route::{
     prefix_chain, AttemptEnd, Limits, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest,
@@ -213,7 +213,7 @@
         let Some((address, item)) = target else {
             return Step::Ended(AttemptEnd::NotSent);
         };
-        let request = Generate {
+        let request = GenerateRequest {
             id: self.id,
             attempt,
             item,
@@ -242,7 +242,7 @@
     async fn pass_on(
         &mut self,
         attempt: u32,
-        mut pieces: PieceStream,
+        mut pieces: GenerateStream,
         actions: &mut mpsc::UnboundedReceiver<RouteAction>,
     ) -> Step {
         loop {
@@ -253,14 +253,14 @@
                 piece = pieces.next() => piece,
             };
             match piece {
-                Some(Ok(Piece::Token { index, text })) if index == self.position => {
+                Some(Ok(GenerateEvent::Token { index, text })) if index == self.position => {
                     self.position += 1;
                     self.tell_progress(attempt);
                     if self.out.send(Out::Token(text)).is_err() {
                         return Step::Gone;
                     }
                 }
-                Some(Ok(Piece::End { total })) if total == self.position => {
+                Some(Ok(GenerateEvent::End { total })) if total == self.position => {
                     self.core.metrics.count_tokens(u64::from(total));
                     self.core.metrics.count_request("model", "ok");
                     let _ = self.out.send(Out::End { total });
--- a/crates/daemon/src/keyed.rs
+++ b/crates/daemon/src/keyed.rs
@@ -12,7 +12,7 @@
 use crate::journal::Journal;
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse};
-use shaleline_border::{SendError, ServiceAnswer, Services};
+use shaleline_border::{SendError, ServiceResponse, Services};
 use shaleline_log::Priority;
 use shaleline_once::{
     Attempt, AttemptAction, AttemptEvent, KeptAnswer, KeyState, OnceBody, OnceKey, OnceMachine,
@@ -282,7 +282,7 @@
     }
 }
 
-fn kept(answer: &ServiceAnswer) -> KeptAnswer {
+fn kept(answer: &ServiceResponse) -> KeptAnswer {
     KeptAnswer {
         status: answer.status,
         mime: answer.mime.clone(),
--- a/crates/daemon/src/member_actor.rs
+++ b/crates/daemon/src/member_actor.rs
@@ -73,7 +73,7 @@
         if round % LIST_ROUNDS == 1 {
             refresh_list(&core, &list, &mut listed).await;
         }
-        let message = core.members().beat();
+        let message = core.members().begin_round();
         let targets = core.members().targets(&listed);
         let calls = targets.iter().filter_map(|t| Some((t, peers.client(t)?)));
         let calls = calls.map(|(to, client)| beat(&core, to, client, message.clone()));
@@ -107,21 +107,21 @@
     let answer = client.heartbeat(secret, message).await;
     let now = core.now();
     match answer {
-        Ok(answer) => core.members().on_answer(&answer, now),
-        Err(_) => core.members().on_failure(to, now),
+        Ok(answer) => core.members().on_response(&answer, now),
+        Err(_) => core.members().on_call_failure(to, now),
     }
 }
 
 /// Draws the conclusions of a round.
 pub(crate) fn settle(core: &Arc<Core>) {
     let now = core.now();
-    let (events, furthest, own) = {
+    let (events, latest_config, own) = {
         let mut members = core.members();
         members.tick(now);
         (
             members.take_events(),
-            members.furthest(),
-            members.me().config,
+            members.latest_config(),
+            members.local().config,
         )
     };
     for event in &events {
@@ -131,7 +131,7 @@
         }
     }
     core.share_out();
-    core.note_behind(furthest > own);
+    core.note_behind(latest_config > own);
 }
 
 /// A daemon that is behind, or has no state at all because the log is away, takes a
@@ -142,7 +142,7 @@
     }
     let others: Vec<String> = {
         let members = core.members();
-        let me = members.me().id.clone();
+        let me = members.local().id.clone();
         let others = members.alive().filter(|m| m.id != me);
         others.map(|m| m.peer.clone()).collect()
     };
@@ -182,7 +182,7 @@
     let short = core.router().take_exceeded();
     let others: Vec<String> = {
         let members = core.members();
-        let me = members.me().id.clone();
+        let me = members.local().id.clone();
         let others = members.alive().filter(|m| m.id != me);
         others.map(|m| m.peer.clone()).collect()
     };
--- a/crates/daemon/src/upstream_actor.rs
+++ b/crates/daemon/src/upstream_actor.rs
@@ -4,7 +4,7 @@
 use crate::directory::Entry;
 use crate::emit::emit;
 use actix::prelude::*;
-use shaleline_border::{Engines, InstanceKind, InstanceList, Listed, UpstreamReport};
+use shaleline_border::{Engines, InstanceKind, InstanceList, ListedInstance, UpstreamReport};
 use shaleline_place::{Item, SlotState};
 use shaleline_route::{Load, Route, RouteEvent, UpstreamInfo};
 use shaleline_types::{LogEvent, Service, Upstream};
@@ -65,7 +65,7 @@
 
 /// Takes the list over. Whatever it marks as leaving, or an operator drains, gets no new
 /// work; whatever it no longer shows is gone.
-fn take_list(core: &Arc<Core>, listed: &[Listed], leaving: &mut BTreeSet<Upstream>) {
+fn take_list(core: &Arc<Core>, listed: &[ListedInstance], leaving: &mut BTreeSet<Upstream>) {
     let upstreams = listed.iter().filter(|l| l.kind != InstanceKind::Daemon);
     let mut shown = BTreeSet::new();
     let view = core.view();
@@ -105,7 +105,7 @@
     }
 }
 
-fn note_entry(core: &Arc<Core>, name: &Upstream, line: &Listed) {
+fn note_entry(core: &Arc<Core>, name: &Upstream, line: &ListedInstance) {
     let mut directory = core.directory.write().expect("no holder panics");
     let fresh = || Entry {
         address: line.address.clone(),
--- a/crates/dialect/src/http.rs
+++ b/crates/dialect/src/http.rs
@@ -6,8 +6,8 @@
 use futures_util::future::LocalBoxFuture;
 use futures_util::StreamExt;
 use shaleline_border::{
-    Engines, Generate, InstanceList, ListError, Listed, Piece, PieceStream, SendError,
-    ServiceAnswer, ServiceCall, Services, UpstreamReport,
+    Engines, GenerateEvent, GenerateRequest, GenerateStream, InstanceList, ListError,
+    ListedInstance, SendError, ServiceCall, ServiceResponse, Services, UpstreamReport,
 };
 use shaleline_place::Order;
 use shaleline_types::RequestId;
@@ -79,12 +79,15 @@
 }
 
 impl InstanceList for HttpPlatform {
-    fn list(&self) -> LocalBoxFuture<'_, Result<Vec<Listed>, ListError>> {
+    fn list(&self) -> LocalBoxFuture<'_, Result<Vec<ListedInstance>, ListError>> {
         Box::pin(async move {
             let url = format!("http://{}/instances", self.platform);
             let sent = self.client.get(url).timeout(SHORT).send().await;
             let mut answer = sent.map_err(|_| ListError)?;
-            let body = answer.json::<Vec<Listed>>().limit(REPORT_LIMIT).await;
+            let body = answer
+                .json::<Vec<ListedInstance>>()
+                .limit(REPORT_LIMIT)
+                .await;
             body.map_err(|_| ListError)
         })
     }
@@ -123,8 +126,8 @@
     fn generate<'a>(
         &'a self,
         address: &'a str,
-        request: &'a Generate,
-    ) -> LocalBoxFuture<'a, Result<PieceStream, SendError>> {
+        request: &'a GenerateRequest,
+    ) -> LocalBoxFuture<'a, Result<GenerateStream, SendError>> {
         Box::pin(async move {
             let url = format!("http://{address}/v1/generate");
             let sent = self.client.post(url).send_json(request).await;
@@ -134,7 +137,7 @@
             }
             let events = answer.eventsource().map(|event| {
                 let event = event.map_err(|_| SendError::Broken)?;
-                serde_json::from_str::<Piece>(&event.data).map_err(|_| SendError::Broken)
+                serde_json::from_str::<GenerateEvent>(&event.data).map_err(|_| SendError::Broken)
             });
             Ok(events.boxed_local())
         })
@@ -158,7 +161,7 @@
         &'a self,
         address: &'a str,
         call: &'a ServiceCall,
-    ) -> LocalBoxFuture<'a, Result<ServiceAnswer, SendError>> {
+    ) -> LocalBoxFuture<'a, Result<ServiceResponse, SendError>> {
         Box::pin(async move {
             let method = call.method.parse().map_err(|_| SendError::NotSent)?;
             let url = format!("http://{address}/call/{}", call.path);
@@ -175,7 +178,7 @@
             let body = body.map_err(|_| SendError::Broken)?;
             let mime = answer.headers().get("content-type");
             let mime = mime.and_then(|m| m.to_str().ok()).unwrap_or_default();
-            Ok(ServiceAnswer {
+            Ok(ServiceResponse {
                 status: answer.status().as_u16(),
                 mime: mime.to_owned(),
                 body: body.to_vec(),
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -7,4 +7,4 @@
 mod log;
 
 pub use http::HttpPlatform;
-pub use log::{AppendAnswer, AppendRequest};
+pub use log::{AppendRequest, AppendResponse};
--- a/crates/dialect/src/log.rs
+++ b/crates/dialect/src/log.rs
@@ -21,7 +21,7 @@
 
 /// The answer to an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// The offset of the first record.
     pub first: Offset,
 }
@@ -48,7 +48,7 @@
             if answer.status().as_u16() == TOO_MANY {
                 return AppendOutcome::Refused;
             }
-            match answer.json::<AppendAnswer>().await {
+            match answer.json::<AppendResponse>().await {
                 Ok(body) => AppendOutcome::At(body.first),
                 Err(_) => AppendOutcome::Lost,
             }
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -18,7 +18,7 @@
 const START: u64 = 1_000_000;
 
 /// Where the time comes from; tests have their own.
-pub trait Time {
+pub trait TimeSource {
     /// The time since an arbitrary moment. Never goes back.
     fn elapsed(&self) -> Duration;
 }
@@ -34,7 +34,7 @@
     }
 }
 
-impl Time for BootTime {
+impl TimeSource for BootTime {
     fn elapsed(&self) -> Duration {
         Self::read().saturating_sub(self.0)
     }
@@ -45,15 +45,15 @@
 
 /// Notices that the machine was suspended: the boot time has gone on and the steady clock has not.
 #[derive(Debug, Default)]
-pub struct Suspensions {
+pub struct SuspensionDetector {
     /// How far the two were apart when they were looked at last, in milliseconds.
     apart: Option<u64>,
 }
 
-impl Suspensions {
+impl SuspensionDetector {
     /// Takes in what both clocks show since the process started; how long the machine was suspended
     /// since the last look.
-    pub fn look(&mut self, boot: Duration, steady: Duration) -> Option<Millis> {
+    pub fn observe(&mut self, boot: Duration, steady: Duration) -> Option<Millis> {
         let apart = boot.saturating_sub(steady).as_millis() as u64;
         let before = self.apart.replace(apart).unwrap_or(apart);
         let grown = apart.saturating_sub(before);
@@ -64,10 +64,10 @@
 /// Counts milliseconds from an arbitrary start, never backwards. Clones are the same clock.
 #[derive(Clone)]
 pub struct Clock {
-    time: Rc<dyn Time>,
+    time: Rc<dyn TimeSource>,
     started: Instant,
     jumped: Rc<Notify>,
-    suspensions: Rc<RefCell<Suspensions>>,
+    suspensions: Rc<RefCell<SuspensionDetector>>,
 }
 
 impl fmt::Debug for Clock {
@@ -85,7 +85,7 @@
 impl Clock {
     /// A clock that shows this time.
     #[must_use]
-    pub fn from_time(time: Rc<dyn Time>) -> Self {
+    pub fn from_time(time: Rc<dyn TimeSource>) -> Self {
         Self {
             time,
             started: Instant::now(),
@@ -102,9 +102,9 @@
 
     /// Looks whether the machine was suspended since the last look, for how long, and wakes those
     /// who sleep then: their timers do not know of it.
-    pub fn look_for_suspension(&self) -> Option<Millis> {
+    pub fn detect_suspension(&self) -> Option<Millis> {
         let (boot, steady) = (self.time.elapsed(), self.started.elapsed());
-        let suspended = self.suspensions.borrow_mut().look(boot, steady);
+        let suspended = self.suspensions.borrow_mut().observe(boot, steady);
         if suspended.is_some() {
             self.jumped.notify_waiters();
         }
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -20,7 +20,7 @@
 
 /// What may change while a listener runs.
 #[derive(Debug, Clone)]
-pub struct Gate(Rc<Inner>);
+pub struct ListenerControl(Rc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
@@ -32,7 +32,7 @@
     busy: Cell<usize>,
 }
 
-impl Gate {
+impl ListenerControl {
     /// An open gate: connections may be idle for `idle`, heads may have `head` bytes.
     #[must_use]
     pub fn new(idle: Duration, head: usize) -> Self {
@@ -116,7 +116,7 @@
 
 /// Counts a request while it lives.
 #[derive(Debug)]
-pub(crate) struct Busy(Gate);
+pub(crate) struct Busy(ListenerControl);
 
 impl Drop for Busy {
     fn drop(&mut self) {
@@ -127,7 +127,7 @@
 
 /// Counts a connection while it lives.
 #[derive(Debug)]
-pub(crate) struct Open(Gate);
+pub(crate) struct Open(ListenerControl);
 
 impl Drop for Open {
     fn drop(&mut self) {
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -6,7 +6,7 @@
 //! `docs/PLATFORM.md` says why `hyper` serves here and not `actix-web` and `awc`.
 //!
 //! * [`Clock`] is the clock by which all of this grows old.
-//! * [`Listener`] serves callers; its [`Gate`] closes it step by step.
+//! * [`Listener`] serves callers; its [`ListenerControl`] closes it step by step.
 //! * [`Pool`] keeps connections to upstreams; an [`Exchange`] is one request on one of
 //!   them, and dropping it closes the connection, which cancels the request.
 
@@ -17,9 +17,9 @@
 mod pool;
 mod reply;
 
-pub use clock::{Clock, Suspensions, Time};
+pub use clock::{Clock, SuspensionDetector, TimeSource};
 pub use exchange::{Exchange, SendError};
-pub use gate::Gate;
+pub use gate::ListenerControl;
 pub use listener::{CallerAddress, Handler, Listener};
-pub use pool::{Pool, PoolSettings, Reach, Target};
+pub use pool::{Pool, PoolSettings, ProbeOutcome, Target};
 pub use reply::{Chunk, Reply, ReplyBody, ReplyStream};
--- a/crates/edge/src/listener.rs
+++ b/crates/edge/src/listener.rs
@@ -1,6 +1,6 @@
 //! Serves callers on kept connections.
 
-use crate::gate::{Gate, Phase};
+use crate::gate::{ListenerControl, Phase};
 use crate::Reply;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
-    gate: Gate,
+    gate: ListenerControl,
 }
 
 impl Listener {
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     /// Where the address can't be bound.
-    pub fn bind(address: SocketAddr, gate: Gate) -> io::Result<Self> {
+    pub fn bind(address: SocketAddr, gate: ListenerControl) -> io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
@@ -96,7 +96,12 @@
     last: Cell<Millis>,
 }
 
-async fn serve(stream: TcpStream, caller: CallerAddress, gate: Gate, handler: Rc<dyn Handler>) {
+async fn serve(
+    stream: TcpStream,
+    caller: CallerAddress,
+    gate: ListenerControl,
+    handler: Rc<dyn Handler>,
+) {
     let _open = gate.open();
     // Small answers must not wait for an acknowledgement; without it they are late, not lost.
     stream.set_nodelay(true).ok();
@@ -150,7 +155,7 @@
 }
 
 /// Notes the end of a request on its connection.
-struct Done(Rc<Activity>, Gate);
+struct Done(Rc<Activity>, ListenerControl);
 
 impl Drop for Done {
     fn drop(&mut self) {
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -31,24 +31,24 @@
 
 /// What became of an attempt to connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum ProbeOutcome {
     /// Something listens there.
     Accepted,
     /// The machine is there and nothing listens.
     Refused,
     /// No answer: the way there, or the machine, is gone.
-    Silent,
+    Unreachable,
 }
 
 /// What an operator sets of a pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
     /// How long a connection may take to open.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How long written bytes may stay unacknowledged before a connection counts as dead.
-    pub dead: Duration,
+    pub unacked_timeout: Duration,
     /// The most connections to one upstream.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 /// One open connection. Dropping it closes it at once.
@@ -217,17 +217,17 @@
     }
 
     /// Closes the idle connections to an upstream that is gone.
-    pub fn forget(&self, target: &Target) {
+    pub fn close_idle(&self, target: &Target) {
         self.0.kept.borrow_mut().remove(target);
     }
 
     /// Connects once and closes again, to see whether anything listens there.
-    pub async fn reach(&self, target: &Target, limit: Duration) -> Reach {
+    pub async fn probe(&self, target: &Target, limit: Duration) -> ProbeOutcome {
         self.0.opened.set(self.0.opened.get() + 1);
         match timeout(limit, TcpStream::connect(target.address)).await {
-            Ok(Ok(_)) => Reach::Accepted,
-            Ok(Err(e)) if is_refusal(&e) => Reach::Refused,
-            Ok(Err(_)) | Err(_) => Reach::Silent,
+            Ok(Ok(_)) => ProbeOutcome::Accepted,
+            Ok(Err(e)) if is_refusal(&e) => ProbeOutcome::Refused,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Unreachable,
         }
     }
 
@@ -236,21 +236,23 @@
             let mut kept = self.0.kept.borrow_mut();
             Rc::clone(&kept.entry(target.clone()).or_default().line)
         };
-        if line.borrow().open >= self.0.settings.most {
+        if line.borrow().open >= self.0.settings.max_connections {
             return Err(SendError::NotSent);
         }
         self.0.opened.set(self.0.opened.get() + 1);
         line.borrow_mut().open += 1;
         let mut hold = Hold(Some(Count(line)));
         let connect = TcpStream::connect(target.address);
-        let stream = timeout(self.0.settings.connect, connect).await;
+        let stream = timeout(self.0.settings.connect_timeout, connect).await;
         let stream = stream
             .map_err(|_| SendError::NotSent)?
             .map_err(|_| SendError::NotSent)?;
         let socket = SockRef::from(&stream);
         // Both only make failures show sooner; a connection works without them.
         stream.set_nodelay(true).ok();
-        socket.set_tcp_user_timeout(Some(self.0.settings.dead)).ok();
+        socket
+            .set_tcp_user_timeout(Some(self.0.settings.unacked_timeout))
+            .ok();
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
             .map_err(|_| SendError::NotSent)?;
--- a/crates/edge/tests/listener.rs
+++ b/crates/edge/tests/listener.rs
@@ -4,7 +4,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use shaleline_edge::{Chunk, Gate, Handler, Listener, Reply, ReplyBody};
+use shaleline_edge::{Chunk, Handler, Listener, ListenerControl, Reply, ReplyBody};
 use shaleline_testkit::cases;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -55,12 +55,12 @@
 
 struct Server {
     address: SocketAddr,
-    gate: Gate,
+    gate: ListenerControl,
     told: mpsc::UnboundedReceiver<&'static str>,
 }
 
 fn serve() -> Server {
-    let gate = Gate::new(Duration::from_secs(60), 8_192);
+    let gate = ListenerControl::new(Duration::from_secs(60), 8_192);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = Listener::bind(any, gate.clone()).expect("bound");
     let address = listener.address().expect("an address");
--- a/crates/edge/tests/pool.rs
+++ b/crates/edge/tests/pool.rs
@@ -69,9 +69,9 @@
 
 fn pool() -> Pool {
     Pool::new(PoolSettings {
-        connect: Duration::from_secs(5),
-        dead: Duration::from_secs(5),
-        most: 4,
+        connect_timeout: Duration::from_secs(5),
+        unacked_timeout: Duration::from_secs(5),
+        max_connections: 4,
     })
 }
 
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use shaleline_edge::{Clock, Pool, PoolSettings, Suspensions, Target, Time};
+use shaleline_edge::{Clock, Pool, PoolSettings, SuspensionDetector, Target, TimeSource};
 use shaleline_testkit::cases;
 use shaleline_types::Upstream;
 use std::cell::Cell;
@@ -20,7 +20,7 @@
 #[derive(Default)]
 struct Boot(Cell<u64>);
 
-impl Time for Boot {
+impl TimeSource for Boot {
     fn elapsed(&self) -> Duration {
         Duration::from_millis(self.0.get())
     }
@@ -28,17 +28,17 @@
 
 fn clock() -> (Rc<Boot>, Clock) {
     let boot = Rc::new(Boot::default());
-    let time: Rc<dyn Time> = boot.clone();
+    let time: Rc<dyn TimeSource> = boot.clone();
     (boot, Clock::from_time(time))
 }
 
 /// How long the looks of a process say that it was suspended; each look is what the boot time and the
 /// steady clock show.
 fn suspended(looks: &[(u64, u64)]) -> Vec<u64> {
-    let mut suspensions = Suspensions::default();
+    let mut suspensions = SuspensionDetector::default();
     let mut look = |(boot, steady): &(u64, u64)| {
         let millis = Duration::from_millis;
-        let found = suspensions.look(millis(*boot), millis(*steady));
+        let found = suspensions.observe(millis(*boot), millis(*steady));
         found.map_or(0, |m| m.0)
     };
     looks.iter().map(&mut look).collect()
@@ -61,10 +61,10 @@
             let clock = clock.clone();
             async move { clock.timeout_at(until, std::future::pending::<()>()).await }
         });
-        clock.look_for_suspension();
+        clock.detect_suspension();
         tokio::task::yield_now().await;
         boot.0.set(60_000);
-        assert!(clock.look_for_suspension().is_some());
+        assert!(clock.detect_suspension().is_some());
         assert_eq!(sleeper.await.expect("it ends"), None);
     });
 }
@@ -77,9 +77,9 @@
         actix_rt::spawn(answer(listener));
         let (boot, clock) = clock();
         let settings = PoolSettings {
-            connect: Duration::from_secs(5),
-            dead: Duration::from_secs(5),
-            most: 4,
+            connect_timeout: Duration::from_secs(5),
+            unacked_timeout: Duration::from_secs(5),
+            max_connections: 4,
         };
         let pool = Pool::with_clock(settings, clock);
         let target = Target {
--- a/crates/gateway/src/crash_probe.rs
+++ b/crates/gateway/src/crash_probe.rs
@@ -6,7 +6,7 @@
 
 use crate::journal::emit;
 use crate::state::Gateway;
-use shaleline_edge::Reach;
+use shaleline_edge::ProbeOutcome;
 use shaleline_route::AttemptNumber;
 use shaleline_types::{Incarnation, IncarnationTag, LogEvent, Millis, Upstream};
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 const SAME_MS: u64 = 300;
 
 /// What was seen last of an upstream, and when that was asked.
-type Seen = Rc<OnceCell<Reach>>;
+type Seen = Rc<OnceCell<ProbeOutcome>>;
 
 /// What was seen of upstreams to which sends broke off.
 #[derive(Debug, Default)]
@@ -85,20 +85,20 @@
         };
         let seen = self.crash_probes.borrow_mut().look(sent.start, self.now());
         let reach = seen.get_or_init(|| async {
-            let mut reach = Reach::Silent;
+            let mut reach = ProbeOutcome::Unreachable;
             for limit in LIMITS {
-                if reach == Reach::Silent {
-                    reach = self.pool.reach(&target, limit).await;
+                if reach == ProbeOutcome::Unreachable {
+                    reach = self.pool.probe(&target, limit).await;
                 }
             }
             self.log_look(sent, reach);
             reach
         });
-        *reach.await == Reach::Refused
+        *reach.await == ProbeOutcome::Refused
     }
 
-    fn log_look(&self, sent: &SentAttempt, reach: Reach) {
-        if reach != Reach::Refused {
+    fn log_look(&self, sent: &SentAttempt, reach: ProbeOutcome) {
+        if reach != ProbeOutcome::Refused {
             return;
         }
         let detail = format!("upstream={} start={}", sent.upstream, sent.start);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -7,7 +7,7 @@
 use crate::state::{Gateway, Platform};
 use crate::{blocked_store, discovery, follow, gossip, planner, GatewaySettings};
 use eyre::{Result, WrapErr};
-use shaleline_edge::{Gate, Handler, Listener};
+use shaleline_edge::{Handler, Listener, ListenerControl};
 use shaleline_route::{Drain, DrainAction, RouteEvent, Unfinished};
 use shaleline_types::{LogEvent, Millis, Upstream};
 use std::net::SocketAddr;
@@ -53,7 +53,11 @@
     }
 }
 
-fn listen(address: SocketAddr, gate: &Gate, handler: Rc<dyn Handler>) -> Result<SocketAddr> {
+fn listen(
+    address: SocketAddr,
+    gate: &ListenerControl,
+    handler: Rc<dyn Handler>,
+) -> Result<SocketAddr> {
     let listener = Listener::bind(address, gate.clone());
     let listener = listener.wrap_err_with(|| format!("can't listen on {address}"))?;
     let bound = listener.address()?;
@@ -77,11 +81,11 @@
     emit(LogEvent::Started, &detail);
     let socket = UdpSocket::bind(listens.peers).await;
     let socket = Rc::new(socket.wrap_err("can't bind the peers' address")?);
-    let control = Gate::new(CONTROL_IDLE, CONTROL_HEAD);
+    let control = ListenerControl::new(CONTROL_IDLE, CONTROL_HEAD);
     listen(listens.callers, &gw.gate, Rc::new(Callers(Rc::clone(&gw))))?;
     let answers = |operators| Rc::new(Control::new(&gw, operators));
     listen(listens.ready, &control, answers(false))?;
-    let peers = Gate::new(CONTROL_IDLE, CONTROL_HEAD);
+    let peers = ListenerControl::new(CONTROL_IDLE, CONTROL_HEAD);
     listen(listens.peers, &peers, Rc::new(CopyHandler(Rc::clone(&gw))))?;
     let metrics = listen(listens.metrics, &control, answers(true));
     if let Err(e) = metrics {
@@ -144,7 +148,7 @@
 /// Drops kept connections that outlived their time while the instance was suspended. What is believed
 /// grows old by the same clock: nothing else needs to be told.
 fn note_suspension(gw: &Gateway) {
-    if let Some(suspended) = gw.clock.look_for_suspension() {
+    if let Some(suspended) = gw.clock.detect_suspension() {
         emit(LogEvent::Suspended, &format!("ms={}", suspended.0));
         gw.pool.prune();
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -20,7 +20,7 @@
 use eyre::Result;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shaleline_edge::{Clock, Gate, Pool, PoolSettings, Target};
+use shaleline_edge::{Clock, ListenerControl, Pool, PoolSettings, Target};
 use shaleline_fleet::{
     Demand, Fleet, HeldSource, LastOrders, PlannerLease, PlannerLeaseSettings, UnmetDemand,
 };
@@ -74,7 +74,7 @@
     pub(crate) codec: Box<dyn Codec>,
     pub(crate) store: Box<dyn Store>,
     pub(crate) pool: Pool,
-    pub(crate) gate: Gate,
+    pub(crate) gate: ListenerControl,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) log_budget: LineBudget,
@@ -183,9 +183,9 @@
         };
         let mesh = Membership::new(me.clone());
         let pool = PoolSettings {
-            connect: CONNECT,
-            dead: DEAD,
-            most: CONNECTIONS,
+            connect_timeout: CONNECT,
+            unacked_timeout: DEAD,
+            max_connections: CONNECTIONS,
         };
         let router = RouterSettings {
             token_ms: settings.policy.token_ms,
@@ -207,7 +207,7 @@
             codec: border.codec,
             store: border.store,
             pool: Pool::with_clock(pool, clock.clone()),
-            gate: Gate::with_clock(IDLE, HEAD, clock.clone()),
+            gate: ListenerControl::with_clock(IDLE, HEAD, clock.clone()),
             clock,
             metrics: Metrics::new()?,
             log_budget: LineBudget::new(now),
@@ -301,7 +301,7 @@
             Change::Restarted(name) => {
                 emit(LogEvent::UpstreamRestarted, &format!("upstream={name}"));
                 if let Some(target) = self.target(&name) {
-                    self.pool.forget(&target);
+                    self.pool.close_idle(&target);
                 }
                 self.route(RouteEvent::Restarted(name.clone()));
                 self.apply_entry(&name);
--- a/crates/gateway/tests/unit/catalogue/world.rs
+++ b/crates/gateway/tests/unit/catalogue/world.rs
@@ -21,7 +21,7 @@
 use futures_util::FutureExt;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shaleline_edge::{Clock, Time};
+use shaleline_edge::{Clock, TimeSource};
 use shaleline_fleet::{Order, OrderReply};
 use shaleline_types::{DataCentre, Millis, Service, Upstream};
 use std::collections::BTreeMap;
@@ -149,7 +149,7 @@
 impl World {
     pub fn new(size: Size, seed: u64) -> Self {
         let hand = Rc::new(Hand::default());
-        let time: Rc<dyn Time> = hand.clone();
+        let time: Rc<dyn TimeSource> = hand.clone();
         let engines = Engines::new(size.engines, size.models, size.adapters, size.loads);
         let mut world = Self {
             size,
--- a/crates/gateway/tests/unit/crashes/world.rs
+++ b/crates/gateway/tests/unit/crashes/world.rs
@@ -24,7 +24,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use servers::Server;
-use shaleline_edge::{Clock, Time};
+use shaleline_edge::{Clock, TimeSource};
 use shaleline_route::{RouteAction, Tolerance, MAX_CRASHES};
 use shaleline_types::{DataCentre, ErrorKind, Identity, Instance, Millis, Service, Upstream};
 use std::collections::BTreeMap;
@@ -198,7 +198,7 @@
     /// Daemons in three data centres before so many upstreams of one service.
     pub fn new(daemons: usize, servers: usize, seed: u64) -> Self {
         let hand = Rc::new(Hand::default());
-        let time: Rc<dyn Time> = hand.clone();
+        let time: Rc<dyn TimeSource> = hand.clone();
         let mut world = Self {
             clock: Clock::from_time(time),
             hand,
--- a/crates/gateway/tests/unit/hand.rs
+++ b/crates/gateway/tests/unit/hand.rs
@@ -1,6 +1,6 @@
 //! Time that a test lets go by.
 
-use shaleline_edge::Time;
+use shaleline_edge::TimeSource;
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct Hand(pub Cell<u64>);
 
-impl Time for Hand {
+impl TimeSource for Hand {
     fn elapsed(&self) -> Duration {
         Duration::from_millis(self.0.get())
     }
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -12,7 +12,7 @@
 use crate::Entry;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use shaleline_edge::{Clock, Time};
+use shaleline_edge::{Clock, TimeSource};
 use shaleline_fleet::{PlannerLeaseAction, PlannerLeaseView};
 use shaleline_route::{Limits, RequestPolicy, Route, RouteEvent, RouteRequest};
 use shaleline_types::{DataCentre, Incarnation, Org, RequestId, Service, Upstream};
@@ -31,7 +31,7 @@
 impl Daemon {
     fn start() -> Self {
         let hand = Rc::new(Hand::default());
-        let time: Rc<dyn Time> = hand.clone();
+        let time: Rc<dyn TimeSource> = hand.clone();
         let border = Platform {
             codec: Box::new(border::NoCodec),
             store: Box::new(border::NoStore),
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,6 +1,6 @@
 //! Membership and the calls between daemons.
 //!
-//! * [`Members`] decides who is alive, from heartbeats that a few daemons exchange each
+//! * [`Membership`] decides who is alive, from heartbeats that a few daemons exchange each
 //!   round and pass on, and from the platform's lagging list.
 //! * [`PeerApi`] is the calls themselves, over `jsonrpsee`: heartbeats, loans of limits,
 //!   and the log's records and snapshots for a daemon that can't reach the log.
@@ -13,5 +13,5 @@
 mod members;
 
 pub use api::{DemandReport, LoanRequest, PeerApiClient, PeerApiServer, RelayRequest};
-pub use member::{Heartbeat, Member, MemberId, Pulse};
-pub use members::{MemberEvent, MemberSettings, Members};
+pub use member::{Heartbeat, Member, MemberId, MemberStatus};
+pub use members::{MemberEvent, MemberSettings, Membership};
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -12,7 +12,7 @@
     /// When this life began, by the instance's wall clock in milliseconds. A later life
     /// of the same instance replaces an earlier one.
     #[serde(rename = "b")]
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// A daemon as it tells of itself.
@@ -29,36 +29,37 @@
     /// Where it answers callers, `IP:PORT`.
     pub caller: String,
     /// Counts its rounds; a larger count is fresher.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub round: u64,
     /// The offset of the next configuration record that it has not applied.
     pub config: Offset,
     /// Whether it is stopping.
     pub leaving: bool,
     /// How often it has denied to be gone. Only it itself raises this, so that old news
     /// from others can neither revive it nor keep it dead.
-    #[serde(default)]
-    pub denials: u32,
+    #[serde(rename = "denials", default)]
+    pub refutations: u32,
 }
 
 /// What changes about a daemon from round to round, in few bytes: short names on the
 /// wire, because a daemon has 2 KB a second for all of its control.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pulse {
+pub struct MemberStatus {
     /// The instance and its life.
     #[serde(flatten)]
     pub id: MemberId,
     /// See [`Member::beat`].
     #[serde(rename = "n")]
-    pub beat: u64,
+    pub round: u64,
     /// See [`Member::config`].
     #[serde(rename = "c")]
     pub config: Offset,
     /// See [`Member::leaving`].
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
-    /// See [`Member::denials`].
+    /// See [`Member::refutations`].
     #[serde(rename = "d", default, skip_serializing_if = "is_zero")]
-    pub denials: u32,
+    pub refutations: u32,
     /// Whether the teller suspects it to be gone.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
@@ -71,13 +72,13 @@
 impl Member {
     /// The part that changes.
     #[must_use]
-    pub fn to_pulse(&self) -> Pulse {
-        Pulse {
+    pub fn to_status(&self) -> MemberStatus {
+        MemberStatus {
             id: self.id.clone(),
-            beat: self.beat,
+            round: self.round,
             config: self.config,
             leaving: self.leaving,
-            denials: self.denials,
+            refutations: self.refutations,
             suspect: false,
         }
     }
@@ -88,10 +89,10 @@
 pub struct Heartbeat {
     /// The sender.
     #[serde(rename = "f")]
-    pub from: Pulse,
+    pub from: MemberStatus,
     /// Others that the sender believes alive or leaving.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
-    pub others: Vec<Pulse>,
+    pub others: Vec<MemberStatus>,
     /// Daemons in full: the sender while it is new and now and then, and whom the other
     /// side asked for.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -1,6 +1,6 @@
 //! Who is alive, as this daemon believes.
 
-use crate::{Heartbeat, Member, MemberId, Pulse};
+use crate::{Heartbeat, Member, MemberId, MemberStatus};
 use shaleline_types::{stable_hash, Instance, Millis, Offset, WriterId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,10 +28,10 @@
     /// How many others a message tells of.
     pub gossip: usize,
     /// How long a daemon to which a call failed may take to deny that it is gone.
-    pub suspicion: Millis,
+    pub suspicion_timeout: Millis,
     /// How long a daemon may not be heard of at all; one that is gone is remembered for
     /// twice as long, so that late news can't revive it.
-    pub memory: Millis,
+    pub silence_timeout: Millis,
 }
 
 impl Default for MemberSettings {
@@ -39,8 +39,8 @@
         Self {
             fanout: 2,
             gossip: 5,
-            suspicion: Millis(1_500),
-            memory: Millis(300_000),
+            suspicion_timeout: Millis(1_500),
+            silence_timeout: Millis(300_000),
         }
     }
 }
@@ -75,17 +75,17 @@
         self.belief != Belief::Gone && !self.member.leaving
     }
 
-    fn to_pulse(&self) -> Pulse {
-        Pulse {
+    fn to_status(&self) -> MemberStatus {
+        MemberStatus {
             suspect: self.belief != Belief::Alive,
-            ..self.member.to_pulse()
+            ..self.member.to_status()
         }
     }
 }
 
 /// The daemons that this one knows of.
 #[derive(Debug)]
-pub struct Members {
+pub struct Membership {
     settings: MemberSettings,
     me: Member,
     known: BTreeMap<Instance, Known>,
@@ -96,7 +96,7 @@
     events: Vec<MemberEvent>,
 }
 
-impl Members {
+impl Membership {
     /// Knows only itself.
     #[must_use]
     pub fn new(settings: MemberSettings, me: Member) -> Self {
@@ -112,7 +112,7 @@
 
     /// This daemon.
     #[must_use]
-    pub fn me(&self) -> &Member {
+    pub fn local(&self) -> &Member {
         &self.me
     }
 
@@ -127,9 +127,9 @@
     }
 
     /// Begins a round: the message to send.
-    pub fn beat(&mut self) -> Heartbeat {
-        self.me.beat += 1;
-        let introduce = self.me.beat < NEW_BEATS || self.me.beat % FULL_EVERY == 0;
+    pub fn begin_round(&mut self) -> Heartbeat {
+        self.me.round += 1;
+        let introduce = self.me.round < NEW_BEATS || self.me.round % FULL_EVERY == 0;
         let full = if introduce {
             vec![self.me.clone()]
         } else {
@@ -148,7 +148,7 @@
             }
         }
         self.news.retain(|_, left| *left > 0);
-        let round = self.me.beat.to_string();
+        let round = self.me.round.to_string();
         let turn = |i: &Instance| stable_hash(&[i.as_str(), &round]);
         let mut rest: Vec<&Instance> = self.known.keys().filter(|i| !chosen.contains(i)).collect();
         rest.sort_by_cached_key(|i| turn(i));
@@ -159,8 +159,8 @@
         }
         let pulses = chosen.iter().filter_map(|i| self.known.get(i));
         Heartbeat {
-            from: self.me.to_pulse(),
-            others: pulses.map(Known::to_pulse).collect(),
+            from: self.me.to_status(),
+            others: pulses.map(Known::to_status).collect(),
             full,
             ask: self.strangers.iter().take(MOST_ASKED).cloned().collect(),
         }
@@ -184,7 +184,7 @@
     #[must_use]
     pub fn targets(&self, listed: &[String]) -> Vec<String> {
         let mut alive: Vec<&Member> = self.alive().filter(|m| m.id != self.me.id).collect();
-        let round = self.me.beat.to_string();
+        let round = self.me.round.to_string();
         let turn = |m: &Member| stable_hash(&[&round, m.id.instance.as_str(), &self.me.peer]);
         alive.sort_by_key(|m| turn(m));
         let mut to: Vec<String> = alive
@@ -197,7 +197,7 @@
             .filter(|a| **a != self.me.peer && !alive.iter().any(|m| m.peer == **a))
             .collect();
         if !unknown.is_empty() {
-            let index = self.me.beat as usize % unknown.len();
+            let index = self.me.round as usize % unknown.len();
             to.push(unknown[index].clone());
         }
         to
@@ -213,7 +213,7 @@
     }
 
     /// Takes the answer to a message.
-    pub fn on_answer(&mut self, answer: &Heartbeat, now: Millis) {
+    pub fn on_response(&mut self, answer: &Heartbeat, now: Millis) {
         self.take(answer, now);
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// A call to the daemon at this address failed.
-    pub fn on_failure(&mut self, peer: &str, now: Millis) {
+    pub fn on_call_failure(&mut self, peer: &str, now: Millis) {
         let failed = |k: &&mut Known| k.member.peer == peer && k.belief == Belief::Alive;
         let Some(known) = self.known.values_mut().find(failed) else {
             return;
@@ -246,11 +246,11 @@
     }
 
     /// Takes a pulse. Of one that is not known in full, more is asked for.
-    fn hear(&mut self, pulse: &Pulse, now: Millis) {
+    fn hear(&mut self, pulse: &MemberStatus, now: Millis) {
         let instance = &pulse.id.instance;
         if *instance == self.me.id.instance {
-            if pulse.suspect && pulse.id == self.me.id && pulse.denials >= self.me.denials {
-                self.me.denials = pulse.denials + 1;
+            if pulse.suspect && pulse.id == self.me.id && pulse.refutations >= self.me.refutations {
+                self.me.refutations = pulse.refutations + 1;
             }
             return;
         }
@@ -258,15 +258,15 @@
         match known.filter(|k| k.member.id == pulse.id) {
             Some(known) => {
                 let news = Member {
-                    beat: pulse.beat,
+                    round: pulse.round,
                     config: pulse.config,
                     leaving: pulse.leaving,
-                    denials: pulse.denials,
+                    refutations: pulse.refutations,
                     ..known.member.clone()
                 };
                 self.update(&news, pulse.suspect, now);
             }
-            None if known.is_none_or(|k| k.member.id.born < pulse.id.born)
+            None if known.is_none_or(|k| k.member.id.incarnation < pulse.id.incarnation)
                 && !pulse.leaving
                 && !pulse.suspect =>
             {
@@ -283,24 +283,27 @@
             return;
         };
         let was_alive = known.is_alive();
-        let denied = news.denials > known.member.denials;
+        let denied = news.refutations > known.member.refutations;
         let mut changed = false;
         if denied && !suspect {
             changed = known.belief != Belief::Alive;
             known.belief = Belief::Alive;
-        } else if suspect && news.denials >= known.member.denials && known.belief == Belief::Alive {
+        } else if suspect
+            && news.refutations >= known.member.refutations
+            && known.belief == Belief::Alive
+        {
             known.belief = Belief::Suspect(now);
             changed = true;
         }
         let old = &mut known.member;
-        old.denials = old.denials.max(news.denials);
+        old.refutations = old.refutations.max(news.refutations);
         old.config = old.config.max(news.config);
         if news.leaving && !old.leaving {
             old.leaving = true;
             changed = true;
         }
-        if news.beat > old.beat {
-            old.beat = news.beat;
+        if news.round > old.round {
+            old.round = news.round;
             known.heard = now;
         }
         let is_alive = known.is_alive();
@@ -325,7 +328,7 @@
         if known.is_some_and(|k| k.member.id == news.id) {
             return self.update(news, false, now);
         }
-        if known.is_some_and(|k| k.member.id.born > news.id.born) {
+        if known.is_some_and(|k| k.member.id.incarnation > news.id.incarnation) {
             return;
         }
         if let Some(old) = known.filter(|k| k.is_alive()) {
@@ -350,9 +353,9 @@
         let settings = self.settings;
         let mut gone = Vec::new();
         for known in self.known.values_mut() {
-            let silent = now.since(known.heard) > settings.memory.0;
+            let silent = now.since(known.heard) > settings.silence_timeout.0;
             let over = match known.belief {
-                Belief::Suspect(since) => now.since(since) >= settings.suspicion.0,
+                Belief::Suspect(since) => now.since(since) >= settings.suspicion_timeout.0,
                 Belief::Alive => silent,
                 Belief::Gone => false,
             };
@@ -368,7 +371,7 @@
             self.spread(instance);
         }
         self.known
-            .retain(|_, k| k.is_alive() || now.since(k.heard) <= 2 * settings.memory.0);
+            .retain(|_, k| k.is_alive() || now.since(k.heard) <= 2 * settings.silence_timeout.0);
         if self.strangers.len() > MOST_STRANGERS {
             self.strangers.clear();
         }
@@ -404,7 +407,7 @@
 
     /// The furthest that any daemon has applied the configuration.
     #[must_use]
-    pub fn furthest(&self) -> Offset {
+    pub fn latest_config(&self) -> Offset {
         let all = self.alive().map(|m| m.config);
         all.max().unwrap_or(Offset(0))
     }
--- a/crates/peer/tests/members.rs
+++ b/crates/peer/tests/members.rs
@@ -1,36 +1,36 @@
 //! Who is alive.
 
-use shaleline_peer::{Member, MemberEvent, MemberId, MemberSettings, Members};
+use shaleline_peer::{Member, MemberEvent, MemberId, MemberSettings, Membership};
 use shaleline_types::{DataCentre, Instance, Millis, Offset, WriterId};
 
-fn member(name: &str, born: u64) -> Member {
+fn member(name: &str, incarnation: u64) -> Member {
     Member {
         id: MemberId {
             instance: Instance::from_text(name).expect("a valid name"),
-            born,
+            incarnation,
         },
-        writer: WriterId(born),
+        writer: WriterId(incarnation),
         centre: DataCentre::from_text("dc1").expect("a valid name"),
         peer: format!("{name}:1"),
         caller: format!("{name}:2"),
-        beat: 0,
+        round: 0,
         config: Offset(0),
         leaving: false,
-        denials: 0,
+        refutations: 0,
     }
 }
 
-fn members(name: &str, born: u64) -> Members {
-    Members::new(MemberSettings::default(), member(name, born))
+fn members(name: &str, incarnation: u64) -> Membership {
+    Membership::new(MemberSettings::default(), member(name, incarnation))
 }
 
-fn hear(to: &mut Members, from: &mut Members, now: u64) {
-    let message = from.beat();
+fn hear(to: &mut Membership, from: &mut Membership, now: u64) {
+    let message = from.begin_round();
     let answer = to.on_heartbeat(&message, Millis(now));
-    from.on_answer(&answer, Millis(now));
+    from.on_response(&answer, Millis(now));
 }
 
-fn alive(m: &Members) -> Vec<String> {
+fn alive(m: &Membership) -> Vec<String> {
     m.alive().map(|m| m.id.instance.to_string()).collect()
 }
 
@@ -48,8 +48,8 @@
 fn one_that_does_not_answer_counts_as_gone_and_late_news_does_not_revive_it() {
     let (mut a, mut b) = (members("a", 1), members("b", 2));
     hear(&mut a, &mut b, 0);
-    let old = b.beat();
-    a.on_failure("b:1", Millis(1_000));
+    let old = b.begin_round();
+    a.on_call_failure("b:1", Millis(1_000));
     a.tick(Millis(2_000));
     assert_eq!(alive(&a), ["a", "b"], "it may still deny");
     a.tick(Millis(2_500));
@@ -62,7 +62,7 @@
 fn one_that_was_paused_denies_to_be_gone() {
     let (mut a, mut b) = (members("a", 1), members("b", 2));
     hear(&mut a, &mut b, 0);
-    a.on_failure("b:1", Millis(1_000));
+    a.on_call_failure("b:1", Millis(1_000));
     a.tick(Millis(2_500));
     hear(&mut a, &mut b, 3_000);
     hear(&mut a, &mut b, 4_000);
@@ -75,7 +75,7 @@
     hear(&mut a, &mut b, 0);
     hear(&mut c, &mut a, 0);
     hear(&mut b, &mut c, 0);
-    a.on_failure("b:1", Millis(1_000));
+    a.on_call_failure("b:1", Millis(1_000));
     hear(&mut c, &mut a, 1_100);
     hear(&mut b, &mut c, 1_200);
     hear(&mut c, &mut b, 1_300);
@@ -131,5 +131,5 @@
         .map(|m| m.id.instance.as_str())
         .collect();
     assert_eq!(behind, ["b"]);
-    assert_eq!(a.furthest(), Offset(5));
+    assert_eq!(a.latest_config(), Offset(5));
 }
--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -8,7 +8,7 @@
 use actix_web::{web, HttpResponse};
 use futures_util::stream;
 use serde::Deserialize;
-use shaleline_border::{Generate, Piece, UpstreamReport};
+use shaleline_border::{GenerateEvent, GenerateRequest, UpstreamReport};
 use shaleline_place::{Item, Order};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -159,7 +159,7 @@
 /// One sequence on the engine; its end frees its place.
 struct Sequence {
     shared: Data<EngineShared>,
-    request: Generate,
+    request: GenerateRequest,
     item: Item,
     life: u64,
     index: u32,
@@ -184,7 +184,7 @@
     }
 }
 
-async fn generate(shared: Data<EngineShared>, request: Json<Generate>) -> HttpResponse {
+async fn generate(shared: Data<EngineShared>, request: Json<GenerateRequest>) -> HttpResponse {
     let request = request.into_inner();
     let item = request.item.clone();
     let life = {
@@ -260,10 +260,10 @@
         let text = token_text(&s.item, &s.request.prompt, s.index);
         let index = s.index;
         s.index += 1;
-        Piece::Token { index, text }
+        GenerateEvent::Token { index, text }
     } else {
         s.ended = true;
-        Piece::End { total: s.index }
+        GenerateEvent::End { total: s.index }
     };
     let json = serde_json::to_string(&piece).expect("pieces serialize");
     Bytes::from(format!("data: {json}\n\n"))
--- a/crates/standin/src/platform_server.rs
+++ b/crates/standin/src/platform_server.rs
@@ -5,15 +5,15 @@
 use actix_web::web::{Data, Json, Path, Query, ServiceConfig};
 use actix_web::{web, HttpResponse};
 use serde::Deserialize;
-use shaleline_border::Listed;
-use shaleline_dialect::{AppendAnswer, AppendRequest};
+use shaleline_border::ListedInstance;
+use shaleline_dialect::{AppendRequest, AppendResponse};
 use shaleline_types::{Millis, Offset, Stream};
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
 struct Entry {
-    listed: Listed,
+    listed: ListedInstance,
     /// The list shows an instance and its changes only after its lag.
     shown: Instant,
     was_leaving: bool,
@@ -74,7 +74,7 @@
     }
 
     /// Shows an instance in the list, at once or after the lag.
-    pub(crate) fn put(&self, listed: Listed, at_once: bool) {
+    pub(crate) fn put(&self, listed: ListedInstance, at_once: bool) {
         let lag = if at_once { Duration::ZERO } else { self.lag };
         let mut list = self.list();
         list.retain(|e| e.listed.name != listed.name);
@@ -135,12 +135,12 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn put_instance(shared: Data<PlatformShared>, listed: Json<Listed>) -> HttpResponse {
+async fn put_instance(shared: Data<PlatformShared>, listed: Json<ListedInstance>) -> HttpResponse {
     shared.put(listed.into_inner(), false);
     HttpResponse::NoContent().finish()
 }
 
-async fn instances(shared: Data<PlatformShared>) -> Json<Vec<Listed>> {
+async fn instances(shared: Data<PlatformShared>) -> Json<Vec<ListedInstance>> {
     let now = Instant::now();
     let list = shared.list();
     let gone = |e: &&Entry| e.removed.is_none_or(|at| now < at);
@@ -183,7 +183,7 @@
     shared.appended.notify_waiters();
     match result {
         Ok(_) if lose => HttpResponse::GatewayTimeout().finish(),
-        Ok(first) => HttpResponse::Ok().json(AppendAnswer { first }),
+        Ok(first) => HttpResponse::Ok().json(AppendResponse { first }),
         Err(_) => HttpResponse::TooManyRequests().finish(),
     }
 }
--- a/crates/standin/src/start.rs
+++ b/crates/standin/src/start.rs
@@ -8,7 +8,7 @@
 use actix_web::web::{Data, JsonConfig, ServiceConfig};
 use actix_web::{App, HttpServer};
 use eyre::{Result, WrapErr};
-use shaleline_border::{InstanceKind, Listed};
+use shaleline_border::{InstanceKind, ListedInstance};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::mpsc;
 use std::sync::Arc;
@@ -155,8 +155,8 @@
     Ok(planned)
 }
 
-fn listed_engine(spec: &EngineSpec, address: SocketAddr) -> Listed {
-    Listed {
+fn listed_engine(spec: &EngineSpec, address: SocketAddr) -> ListedInstance {
+    ListedInstance {
         name: spec.name.to_string(),
         kind: InstanceKind::Engine,
         address: address.to_string(),
@@ -166,8 +166,8 @@
     }
 }
 
-fn listed_service(spec: &ServiceSpec, address: SocketAddr) -> Listed {
-    Listed {
+fn listed_service(spec: &ServiceSpec, address: SocketAddr) -> ListedInstance {
+    ListedInstance {
         name: spec.name.to_string(),
         kind: InstanceKind::Service,
         address: address.to_string(),
