--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock by which everything in a process grows old.
+//! A clock that includes the time an instance was suspended.
 //!
-//! An instance may be suspended for seconds. The steady clock and every timer leave that time out:
-//! what a daemon believes, holds and waits for would seem younger than it is by as much, while the
-//! others have gone on. So time is the kernel's boot time, which counts it, and whoever sleeps is
-//! woken when a tick notices that the two have parted.
+//! An instance may be suspended for seconds. The monotonic clock and all timers exclude that time,
+//! so the age of everything that a daemon holds would be too low by the length of the suspension
+//! while other daemons continue. This clock therefore uses the kernel's boot time, which includes
+//! suspensions, and wakes sleeping tasks when the two clocks are found to diverge.
 
 use nix::time::{clock_gettime, ClockId};
 use shaleline_types::Millis;
@@ -14,16 +14,17 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The first value is above any window that looks back, so that "long ago" has room.
+/// The first value in milliseconds, larger than any look-back window so that subtracting one
+/// cannot underflow.
 const START: u64 = 1_000_000;
 
-/// Where the time comes from; tests have their own.
+/// A source of time, which tests replace.
 pub trait TimeSource {
-    /// The time since an arbitrary moment. Never goes back.
+    /// Returns the time since an arbitrary start. It never decreases.
     fn elapsed(&self) -> Duration;
 }
 
-/// The time since the machine started, suspensions included.
+/// The time since the machine booted, including suspensions.
 #[derive(Debug)]
 struct BootTime(Duration);
 
@@ -40,28 +41,28 @@
     }
 }
 
-/// Two clocks that part by less than this differ by the grain of timers alone.
-const GRAIN_MS: u64 = 50;
+/// Smaller differences between the two clocks are due to their resolution.
+const CLOCK_TOLERANCE_MS: u64 = 50;
 
-/// Notices that the machine was suspended: the boot time has gone on and the steady clock has not.
+/// Detects that the machine was suspended: the boot time advanced and the monotonic clock did not.
 #[derive(Debug, Default)]
 pub struct SuspensionDetector {
-    /// How far the two were apart when they were looked at last, in milliseconds.
-    apart: Option<u64>,
+    /// The difference between the two clocks at the last observation, in milliseconds.
+    difference: Option<u64>,
 }
 
 impl SuspensionDetector {
-    /// Takes in what both clocks show since the process started; how long the machine was suspended
-    /// since the last look.
-    pub fn observe(&mut self, boot: Duration, steady: Duration) -> Option<Millis> {
-        let apart = boot.saturating_sub(steady).as_millis() as u64;
-        let before = self.apart.replace(apart).unwrap_or(apart);
-        let grown = apart.saturating_sub(before);
-        (grown >= GRAIN_MS).then_some(Millis(grown))
+    /// Records both clocks' time since the process started and returns how long the machine was
+    /// suspended since the last observation.
+    pub fn observe(&mut self, boot: Duration, monotonic: Duration) -> Option<Millis> {
+        let difference = boot.saturating_sub(monotonic).as_millis() as u64;
+        let previous = self.difference.replace(difference).unwrap_or(difference);
+        let increase = difference.saturating_sub(previous);
+        (increase >= CLOCK_TOLERANCE_MS).then_some(Millis(increase))
     }
 }
 
-/// Counts milliseconds from an arbitrary start, never backwards. Clones are the same clock.
+/// A clock in milliseconds from an arbitrary start, which never goes backwards. Clones share it.
 #[derive(Clone)]
 pub struct Clock {
     time: Rc<dyn TimeSource>,
@@ -83,7 +84,7 @@
 }
 
 impl Clock {
-    /// A clock that shows this time.
+    /// Creates a clock that reads the given source.
     #[must_use]
     pub fn from_time(time: Rc<dyn TimeSource>) -> Self {
         Self {
@@ -94,24 +95,24 @@
         }
     }
 
-    /// What it shows now.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Millis {
         Millis(START + self.time.elapsed().as_millis() as u64)
     }
 
-    /// Looks whether the machine was suspended since the last look, for how long, and wakes those
-    /// who sleep then: their timers do not know of it.
+    /// Returns how long the machine was suspended since the last call, if it was. Tasks that sleep
+    /// on this clock are then woken, because their timers exclude the suspension.
     pub fn detect_suspension(&self) -> Option<Millis> {
-        let (boot, steady) = (self.time.elapsed(), self.started.elapsed());
-        let suspended = self.suspensions.borrow_mut().observe(boot, steady);
+        let (boot, monotonic) = (self.time.elapsed(), self.started.elapsed());
+        let suspended = self.suspensions.borrow_mut().observe(boot, monotonic);
         if suspended.is_some() {
             self.jumped.notify_waiters();
         }
         suspended
     }
 
-    /// Sleeps until a time of this clock.
+    /// Sleeps until this clock reaches a time.
     pub async fn sleep_until(&self, at: Millis) {
         loop {
             let mut jumped = std::pin::pin!(self.jumped.notified());
@@ -127,7 +128,7 @@
         }
     }
 
-    /// What a future yields, if it does so before a time of this clock.
+    /// Returns the output of a future, or `None` if this clock reaches a time first.
     pub async fn timeout_at<T>(&self, at: Millis, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -8,12 +8,12 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendError {
-    /// Not a byte of it was written: it has not run.
+    /// No byte of it was written, so it did not run.
     NotSent,
-    /// It was written, at least in part: it may have run.
+    /// It was written at least in part, so it may have run.
     Broken,
 }
 
@@ -28,8 +28,8 @@
 
 impl std::error::Error for SendError {}
 
-/// An answer under way. Dropping it before its end closes the connection, which tells the
-/// upstream to stop; [`Exchange::finish`] keeps the connection for the next request.
+/// A response that is being received. Dropping it before its end closes the connection, which
+/// cancels the request at the upstream; [`Exchange::finish`] keeps the connection for reuse.
 #[derive(Debug)]
 pub struct Exchange {
     pub(crate) channel: Channel,
@@ -40,29 +40,29 @@
 }
 
 impl Exchange {
-    /// The head of the answer.
+    /// Returns the head of the response.
     #[must_use]
     pub fn head(&self) -> &Response<Incoming> {
         &self.response
     }
 
-    /// The status of the answer.
+    /// Returns the status of the response.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// The length of the body, where it is known.
+    /// Returns the length of the body if it is known.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
         use hyper::body::Body as _;
         self.response.body().size_hint().exact()
     }
 
-    /// The next bytes of the body; none at its end.
+    /// Returns the next bytes of the body, or `None` at its end.
     ///
     /// # Errors
-    /// [`SendError::Broken`] where the body breaks off before its end.
+    /// [`SendError::Broken`] if the body is truncated.
     pub async fn next(&mut self) -> Result<Option<Bytes>, SendError> {
         loop {
             let Some(frame) = self.response.body_mut().frame().await else {
@@ -70,17 +70,17 @@
                 return Ok(None);
             };
             let frame = frame.map_err(|_| SendError::Broken)?;
-            // Trailers are not passed on.
+            // Trailers are not forwarded.
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
         }
     }
 
-    /// The whole body, up to `limit` bytes.
+    /// Reads the whole body, up to `limit` bytes.
     ///
     /// # Errors
-    /// [`SendError::Broken`] where it breaks off or is longer.
+    /// [`SendError::Broken`] if the body is truncated or longer than `limit`.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, SendError> {
         let mut whole: Option<Bytes> = None;
         let mut parts = Vec::new();
@@ -103,11 +103,11 @@
         Ok(parts.concat().into())
     }
 
-    /// Gives the connection back, to be kept for `keep` at the most; where the answer
-    /// has not ended, it is closed.
-    pub fn finish(self, keep: Duration) {
+    /// Returns the connection to the pool, which keeps it idle for at most `max_idle`. The
+    /// connection is closed instead if the response has not ended.
+    pub fn finish(self, max_idle: Duration) {
         if self.ended {
-            self.pool.put(&self.target, self.channel, keep);
+            self.pool.put(&self.target, self.channel, max_idle);
         }
     }
 }
--- a/crates/edge/src/listener.rs
+++ b/crates/edge/src/listener.rs
@@ -1,6 +1,6 @@
-//! Serves callers on kept connections.
+//! Serves callers on persistent connections.
 
-use crate::gate::{ListenerControl, Phase};
+use crate::control::{ListenerControl, Phase};
 use crate::Reply;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -19,25 +19,26 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// The connections that may wait to be accepted; callers come in herds.
+/// The connections that may wait to be accepted, sized for bursts of callers.
 const BACKLOG: u32 = 1_024;
 
-/// How often an idle connection is looked at, so that it is closed soon after its time.
-const IDLE_CHECK: Duration = Duration::from_millis(1_000);
+/// The interval at which a connection is checked for its idle timeout.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long to wait after a failed accept: descriptors are short, and spinning frees none.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept. File descriptors are exhausted then, and an immediate
+/// retry would fail again.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The smallest read buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8_192;
+/// The smallest read buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Where the connection of a request comes from; an extension of each request.
+/// The remote address of a request's connection, stored as an extension of each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerAddress(pub IpAddr);
 
-/// Answers requests. Dropping the returned future means that the caller has gone.
+/// Handles requests. The returned future is dropped when the caller disconnects.
 pub trait Handler {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, request: Request<Incoming>) -> Pin<Box<dyn Future<Output = Reply>>>;
 }
 
@@ -45,81 +46,82 @@
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
-    gate: ListenerControl,
+    control: ListenerControl,
 }
 
 impl Listener {
     /// Binds to an address.
     ///
     /// # Errors
-    /// Where the address can't be bound.
-    pub fn bind(address: SocketAddr, gate: ListenerControl) -> io::Result<Self> {
+    /// Fails if the address can't be bound.
+    pub fn bind(address: SocketAddr, control: ListenerControl) -> io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         Ok(Self {
             socket: socket.listen(BACKLOG)?,
-            gate,
+            control,
         })
     }
 
-    /// The address that was bound.
+    /// Returns the address that was bound.
     ///
     /// # Errors
-    /// Where the system can't tell.
+    /// Fails if the system does not report the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Accepts connections until the gate is closed, each served by a task of its own.
+    /// Accepts connections until the control closes the listener. Each connection is served by
+    /// its own task.
     pub async fn run(self, handler: Rc<dyn Handler>) {
-        let mut phase = self.gate.watch();
+        let mut phase = self.control.subscribe();
         loop {
             let accepted = tokio::select! {
                 _ = phase.wait_for(|p| *p == Phase::Closed) => return,
                 accepted = self.socket.accept() => accepted,
             };
             let Ok((stream, from)) = accepted else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let caller = CallerAddress(from.ip());
-            let connection = serve(stream, caller, self.gate.clone(), Rc::clone(&handler));
+            let connection = serve(stream, caller, self.control.clone(), Rc::clone(&handler));
             actix_rt::spawn(connection);
         }
     }
 }
 
-/// What one connection is doing.
+/// The state that decides whether a connection is idle.
 struct Activity {
     busy: Cell<usize>,
-    last: Cell<Millis>,
+    last_active: Cell<Millis>,
 }
 
 async fn serve(
     stream: TcpStream,
     caller: CallerAddress,
-    gate: ListenerControl,
+    control: ListenerControl,
     handler: Rc<dyn Handler>,
 ) {
-    let _open = gate.open();
-    // Small answers must not wait for an acknowledgement; without it they are late, not lost.
+    let _open = control.track_connection();
+    // Small responses must not wait for an acknowledgement. A failure here only delays them.
     stream.set_nodelay(true).ok();
     let activity = Rc::new(Activity {
         busy: Cell::new(0),
-        last: Cell::new(gate.now()),
+        last_active: Cell::new(control.now()),
     });
     let service = service_fn(|mut request: Request<Incoming>| {
         request.extensions_mut().insert(caller);
         let activity = Rc::clone(&activity);
-        let gate = gate.clone();
-        let answer = handler.handle(request);
+        let control = control.clone();
+        let response = handler.handle(request);
         async move {
             activity.busy.set(activity.busy.get() + 1);
-            let guard = Done(Rc::clone(&activity), gate.clone());
-            let busy = gate.enter();
-            let mut reply = answer.await;
-            if gate.is_closing() {
+            let guard = ActivityGuard(Rc::clone(&activity), control.clone());
+            let busy = control.track_request();
+            let mut reply = response.await;
+            if control.is_closing() {
                 let close = HeaderValue::from_static("close");
                 reply.headers_mut().insert(CONNECTION, close);
             }
@@ -130,23 +132,23 @@
     });
     let mut connection = pin!(Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(gate.idle() + IDLE_CHECK)
-        .max_buf_size(gate.head().max(LEAST_BUFFER))
+        .header_read_timeout(control.idle_timeout() + IDLE_CHECK_INTERVAL)
+        .max_buf_size(control.max_head().max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service));
-    let mut phase = gate.watch();
-    let mut told = false;
+    let mut phase = control.subscribe();
+    let mut shutting_down = false;
     loop {
         tokio::select! {
-            // The end of a connection is no event of ours: each request logs its own end.
+            // The end of a connection is not logged, because each request logs its own end.
             _ = connection.as_mut() => return,
-            _ = phase.wait_for(|p| *p == Phase::Closed), if !told => {
-                told = true;
+            _ = phase.wait_for(|p| *p == Phase::Closed), if !shutting_down => {
+                shutting_down = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = tokio::time::sleep(IDLE_CHECK), if !told => {
-                let idle = u128::from(gate.now().since(activity.last.get())) >= gate.idle().as_millis();
+            () = tokio::time::sleep(IDLE_CHECK_INTERVAL), if !shutting_down => {
+                let idle = u128::from(control.now().since(activity.last_active.get())) >= control.idle_timeout().as_millis();
                 if activity.busy.get() == 0 && idle {
-                    told = true;
+                    shutting_down = true;
                     connection.as_mut().graceful_shutdown();
                 }
             }
@@ -154,12 +156,12 @@
     }
 }
 
-/// Notes the end of a request on its connection.
-struct Done(Rc<Activity>, ListenerControl);
+/// Records the end of a request on its connection when it is dropped.
+struct ActivityGuard(Rc<Activity>, ListenerControl);
 
-impl Drop for Done {
+impl Drop for ActivityGuard {
     fn drop(&mut self) {
         self.0.busy.set(self.0.busy.get() - 1);
-        self.0.last.set(self.1.now());
+        self.0.last_active.set(self.1.now());
     }
 }
--- a/crates/edge/src/pool.rs
+++ b/crates/edge/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstreams.
+//! A pool of persistent connections to upstreams.
 
 use crate::{Clock, Exchange, SendError};
 use actix_rt::task::JoinHandle;
@@ -19,43 +19,43 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Where a request goes. Connections are kept by name as well as address, because an
-/// address may pass on to another upstream.
+/// The destination of a request. Connections are pooled by name as well as address, because
+/// an address may be reassigned to another upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Target {
     /// The upstream.
     pub name: Upstream,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
-/// What became of an attempt to connect.
+/// The outcome of an attempt to connect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Something listens there.
+    /// A process listens at the address.
     Accepted,
-    /// The machine is there and nothing listens.
+    /// The machine is up, but no process listens at the address.
     Refused,
-    /// No answer: the way there, or the machine, is gone.
+    /// The connection attempt was not answered: the network path or the machine is down.
     Unreachable,
 }
 
-/// What an operator sets of a pool.
+/// The settings of a pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolSettings {
-    /// How long a connection may take to open.
+    /// The timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How long written bytes may stay unacknowledged before a connection counts as dead.
+    /// How long written bytes may stay unacknowledged before the connection is considered dead.
     pub unacked_timeout: Duration,
-    /// The most connections to one upstream.
+    /// The maximum number of connections to one upstream.
     pub max_connections: usize,
 }
 
-/// One open connection. Dropping it closes it at once.
+/// One open connection. Dropping it closes the connection immediately.
 pub(crate) struct Channel {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    count: Count,
+    count: OpenCount,
 }
 
 impl fmt::Debug for Channel {
@@ -73,23 +73,23 @@
     }
 }
 
-struct Idle {
+struct IdleChannel {
     channel: Channel,
-    until: Millis,
+    expires: Millis,
 }
 
-/// How many connections to one upstream are open.
+/// The number of open connections to one upstream.
 #[derive(Debug, Default)]
-struct Line {
+struct TargetCounts {
     open: usize,
 }
 
-struct Count(Rc<RefCell<Line>>);
+struct OpenCount(Rc<RefCell<TargetCounts>>);
 
 #[derive(Default)]
-struct Kept {
-    line: Rc<RefCell<Line>>,
-    idle: Vec<Idle>,
+struct TargetState {
+    counts: Rc<RefCell<TargetCounts>>,
+    idle: Vec<IdleChannel>,
 }
 
 /// The connections to all upstreams, shared by the tasks of one thread.
@@ -99,7 +99,7 @@
 struct Inner {
     clock: Clock,
     settings: PoolSettings,
-    kept: RefCell<HashMap<Target, Kept>>,
+    targets: RefCell<HashMap<Target, TargetState>>,
     opened: std::cell::Cell<u64>,
 }
 
@@ -112,40 +112,40 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(settings: PoolSettings) -> Self {
         Self::with_clock(settings, Clock::default())
     }
 
-    /// An empty pool whose idle connections grow old by this clock.
+    /// Creates an empty pool whose idle connections expire by the given clock.
     #[must_use]
     pub fn with_clock(settings: PoolSettings, clock: Clock) -> Self {
         Self(Rc::new(Inner {
             clock,
             settings,
-            kept: RefCell::new(HashMap::new()),
+            targets: RefCell::new(HashMap::new()),
             opened: std::cell::Cell::new(0),
         }))
     }
 
-    /// How many connections were opened so far.
+    /// Returns the number of connections opened so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.0.opened.get()
     }
 
-    /// Sends a request and waits for the head of its answer. Dropping the future closes
+    /// Sends a request and waits for the head of its response. Dropping the future closes
     /// the connection.
     ///
     /// # Errors
-    /// [`SendError::NotSent`] where nothing was written, [`SendError::Broken`] otherwise.
+    /// [`SendError::NotSent`] if nothing was written, [`SendError::Broken`] otherwise.
     pub async fn send(
         &self,
         target: &Target,
         mut request: Request<Full<Bytes>>,
     ) -> Result<Exchange, SendError> {
-        while let Some(mut channel) = self.take(target) {
+        while let Some(mut channel) = self.take_idle(target) {
             if channel.sender.ready().await.is_err() {
                 continue;
             }
@@ -182,46 +182,47 @@
         }
     }
 
-    /// Takes the connection that was used last, so that the others may grow old.
-    fn take(&self, target: &Target) -> Option<Channel> {
-        let mut kept = self.0.kept.borrow_mut();
-        let idle = &mut kept.get_mut(target)?.idle;
+    /// Takes the most recently used idle connection, so that surplus ones expire.
+    fn take_idle(&self, target: &Target) -> Option<Channel> {
+        let mut targets = self.0.targets.borrow_mut();
+        let idle = &mut targets.get_mut(target)?.idle;
         let now = self.0.clock.now();
         while let Some(last) = idle.pop() {
-            if last.until > now && !last.channel.sender.is_closed() {
+            if last.expires > now && !last.channel.sender.is_closed() {
                 return Some(last.channel);
             }
         }
         None
     }
 
-    pub(crate) fn put(&self, target: &Target, channel: Channel, keep: Duration) {
-        if keep.is_zero() || channel.sender.is_closed() {
+    pub(crate) fn put(&self, target: &Target, channel: Channel, max_idle: Duration) {
+        if max_idle.is_zero() || channel.sender.is_closed() {
             return;
         }
-        let until = self.0.clock.now().plus(keep.as_millis() as u64);
-        let mut kept = self.0.kept.borrow_mut();
-        let line = kept.entry(target.clone()).or_default();
-        line.idle.push(Idle { channel, until });
+        let expires = self.0.clock.now().plus(max_idle.as_millis() as u64);
+        let mut targets = self.0.targets.borrow_mut();
+        let state = targets.entry(target.clone()).or_default();
+        state.idle.push(IdleChannel { channel, expires });
     }
 
-    /// Closes what was idle for too long.
+    /// Closes the connections whose idle time has expired.
     pub fn prune(&self) {
         let now = self.0.clock.now();
-        let mut kept = self.0.kept.borrow_mut();
-        for line in kept.values_mut() {
-            line.idle
-                .retain(|i| i.until > now && !i.channel.sender.is_closed());
+        let mut targets = self.0.targets.borrow_mut();
+        for state in targets.values_mut() {
+            state
+                .idle
+                .retain(|i| i.expires > now && !i.channel.sender.is_closed());
         }
-        kept.retain(|_, k| !k.idle.is_empty() || k.line.borrow().open > 0);
+        targets.retain(|_, t| !t.idle.is_empty() || t.counts.borrow().open > 0);
     }
 
-    /// Closes the idle connections to an upstream that is gone.
+    /// Closes the idle connections to an upstream that has left.
     pub fn close_idle(&self, target: &Target) {
-        self.0.kept.borrow_mut().remove(target);
+        self.0.targets.borrow_mut().remove(target);
     }
 
-    /// Connects once and closes again, to see whether anything listens there.
+    /// Connects once and closes the connection, to find out whether a process listens there.
     pub async fn probe(&self, target: &Target, limit: Duration) -> ProbeOutcome {
         self.0.opened.set(self.0.opened.get() + 1);
         match timeout(limit, TcpStream::connect(target.address)).await {
@@ -232,23 +233,24 @@
     }
 
     async fn open(&self, target: &Target) -> Result<Channel, SendError> {
-        let line = {
-            let mut kept = self.0.kept.borrow_mut();
-            Rc::clone(&kept.entry(target.clone()).or_default().line)
+        let counts = {
+            let mut targets = self.0.targets.borrow_mut();
+            Rc::clone(&targets.entry(target.clone()).or_default().counts)
         };
-        if line.borrow().open >= self.0.settings.max_connections {
+        if counts.borrow().open >= self.0.settings.max_connections {
             return Err(SendError::NotSent);
         }
         self.0.opened.set(self.0.opened.get() + 1);
-        line.borrow_mut().open += 1;
-        let mut hold = Hold(Some(Count(line)));
+        counts.borrow_mut().open += 1;
+        let mut guard = OpeningGuard(Some(OpenCount(counts)));
         let connect = TcpStream::connect(target.address);
         let stream = timeout(self.0.settings.connect_timeout, connect).await;
         let stream = stream
             .map_err(|_| SendError::NotSent)?
             .map_err(|_| SendError::NotSent)?;
         let socket = SockRef::from(&stream);
-        // Both only make failures show sooner; a connection works without them.
+        // Both options only reduce latency or detect failures sooner; the connection works
+        // without them.
         stream.set_nodelay(true).ok();
         socket
             .set_tcp_user_timeout(Some(self.0.settings.unacked_timeout))
@@ -257,10 +259,10 @@
             .await
             .map_err(|_| SendError::NotSent)?;
         let task = actix_rt::spawn(async move {
-            // Its failures reach the request that is on it.
+            // A failure is reported to the request on this connection.
             connection.await.ok();
         });
-        let count = hold.0.take().expect("taken once");
+        let count = guard.0.take().expect("taken once");
         Ok(Channel {
             sender,
             task,
@@ -274,10 +276,10 @@
     matches!(error.kind(), ConnectionRefused | ConnectionReset)
 }
 
-/// Counts a connection that is being opened.
-struct Hold(Option<Count>);
+/// Counts a connection that is being opened; dropping it undoes the count.
+struct OpeningGuard(Option<OpenCount>);
 
-impl Drop for Hold {
+impl Drop for OpeningGuard {
     fn drop(&mut self) {
         if let Some(count) = self.0.take() {
             count.0.borrow_mut().open -= 1;
--- a/crates/edge/src/reply.rs
+++ b/crates/edge/src/reply.rs
@@ -1,6 +1,6 @@
-//! Answers to callers: whole, or passed on piece by piece.
+//! Responses to callers: complete, or streamed in chunks.
 
-use crate::gate::Busy;
+use crate::control::RequestGuard;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::Response;
@@ -9,32 +9,32 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// What a relay puts into a streamed answer.
+/// An item of a streamed response.
 #[derive(Debug)]
 pub enum Chunk {
     /// The next bytes.
     Data(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     End,
 }
 
-/// The error that makes an unfinished answer end without looking whole.
+/// The error that ends an incomplete response, so that the caller can detect the truncation.
 #[derive(Debug)]
 pub struct Unfinished;
 
 impl fmt::Display for Unfinished {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("the response is incomplete")
     }
 }
 
 impl std::error::Error for Unfinished {}
 
-/// The receiving end of a streamed answer. A sender that is dropped without
-/// [`Chunk::End`] breaks the answer off.
+/// The receiving end of a streamed response. Dropping the sender without [`Chunk::End`]
+/// ends the response as incomplete.
 #[derive(Debug)]
 pub struct ReplyStream {
     chunks: mpsc::Receiver<Chunk>,
@@ -47,19 +47,19 @@
     Stream(ReplyStream),
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub struct ReplyBody {
     source: Source,
     ended: bool,
-    /// Whether the sender was found gone.
+    /// Whether the sender was dropped without [`Chunk::End`].
     broken: bool,
-    /// Counts the request as being answered until its body is written.
-    pub(crate) busy: Option<Busy>,
+    /// Counts the request as in progress until its body is written.
+    pub(crate) busy: Option<RequestGuard>,
 }
 
 impl ReplyBody {
-    /// A whole body.
+    /// Creates a complete body.
     #[must_use]
     pub fn from_bytes(bytes: Bytes) -> Self {
         let bytes = Some(bytes).filter(|b| !b.is_empty());
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A body that a relay fills, of `length` bytes where that is known.
+    /// Creates a streamed body and its sender. `length` is the number of bytes if it is known.
     #[must_use]
     pub fn channel(depth: usize, length: Option<u64>) -> (mpsc::Sender<Chunk>, Self) {
         let (sender, chunks) = mpsc::channel(depth);
@@ -110,8 +110,8 @@
                 this.ended = true;
                 Poll::Ready(None)
             }
-            // The server writes what it has when nothing more is there; an error right
-            // away would take the pieces before it along.
+            // The server flushes its buffer when the body is pending. Returning the error
+            // immediately would discard the chunks before it.
             None if !this.broken => {
                 this.broken = true;
                 cx.waker().wake_by_ref();
--- a/crates/edge/tests/kin.rs
+++ b/crates/edge/tests/kin.rs
@@ -1,6 +1,6 @@
-//! Why this crate uses `hyper`: what `actix-web` and `awc` do in cases that the platform
-//! counts. Should one of these tests fail after an update, the choice can be made anew;
-//! `docs/PLATFORM.md` names them.
+//! Documents why this crate uses `hyper`: `actix-web` and `awc` behave differently in cases
+//! that the platform counts. If one of these tests fails after an update, the choice can be
+//! reconsidered; `docs/PLATFORM.md` names them.
 
 use actix_web::{web, App, HttpResponse, HttpServer};
 use std::net::TcpListener as StdListener;
@@ -9,30 +9,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Tells when it is dropped.
-struct Tell(mpsc::UnboundedSender<&'static str>);
+/// Sends a message when it is dropped.
+struct NotifyOnDrop(mpsc::UnboundedSender<&'static str>);
 
-impl Drop for Tell {
+impl Drop for NotifyOnDrop {
     fn drop(&mut self) {
         self.0.send("left").ok();
     }
 }
 
-/// An engine must stop within half a second after its caller has left. The handler of
-/// `actix-web` is not told: it is still there when the server has answered another caller.
+/// An engine must stop within half a second after its caller disconnects. `actix-web` does not
+/// drop the handler's future: it still exists after the server has answered another caller.
 #[test]
 fn actix_web_does_not_end_a_request_whose_caller_left() {
     actix_rt::System::new().block_on(async {
-        let (tell, mut told) = mpsc::unbounded_channel();
+        let (sender, mut events) = mpsc::unbounded_channel();
         let listener = StdListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("an address");
         let app = move || {
-            let tell = tell.clone();
+            let sender = sender.clone();
             let wait = move || {
-                let told = tell.clone();
+                let events = sender.clone();
                 async move {
-                    told.send("request").ok();
-                    let _tell = Tell(told);
+                    events.send("request").ok();
+                    let _guard = NotifyOnDrop(events);
                     tokio::time::sleep(Duration::from_secs(60)).await;
                     HttpResponse::Ok().finish()
                 }
@@ -48,7 +48,7 @@
         let mut leaver = TcpStream::connect(address).await.expect("connected");
         let request = b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n";
         leaver.write_all(request).await.expect("written");
-        assert_eq!(told.recv().await, Some("request"));
+        assert_eq!(events.recv().await, Some("request"));
         drop(leaver);
         // The same worker sees the end of the first connection before this one's request.
         for _ in 0..3 {
@@ -58,13 +58,13 @@
             let mut answer = Vec::new();
             other.read_to_end(&mut answer).await.expect("answered");
         }
-        assert_eq!(told.try_recv().ok(), None);
+        assert_eq!(events.try_recv().ok(), None);
         handle.stop(false).await;
     });
 }
 
-/// "Not run" must be true. `awc` reports a connection that was closed after the request
-/// was read as one that was never made.
+/// A request that is reported as not run must not have run. `awc` reports a connection that was
+/// closed after the request was read as a failure to connect.
 #[test]
 fn awc_calls_a_request_without_an_answer_not_connected() {
     actix_rt::System::new().block_on(async {
--- a/crates/edge/tests/listener.rs
+++ b/crates/edge/tests/listener.rs
@@ -1,4 +1,4 @@
-//! What callers may do to a connection, and how a listener stops.
+//! Tests of the listener: malformed requests, callers that disconnect, and shutdown.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -15,26 +15,26 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Tells when it is dropped.
-struct Tell(mpsc::UnboundedSender<&'static str>);
+/// Sends a message when it is dropped.
+struct NotifyOnDrop(mpsc::UnboundedSender<&'static str>);
 
-impl Drop for Tell {
+impl Drop for NotifyOnDrop {
     fn drop(&mut self) {
         self.0.send("left").ok();
     }
 }
 
-/// Answers by path: `/echo` with the body, `/wait` never, `/cut` with half a stream.
-struct Paths(mpsc::UnboundedSender<&'static str>);
+/// Responds by path: `/echo` with the body, `/wait` never, `/cut` with an incomplete stream.
+struct PathHandler(mpsc::UnboundedSender<&'static str>);
 
-impl Handler for Paths {
+impl Handler for PathHandler {
     fn handle(&self, request: Request<Incoming>) -> Pin<Box<dyn Future<Output = Reply>>> {
-        let told = self.0.clone();
+        let events = self.0.clone();
         Box::pin(async move {
-            told.send("request").ok();
+            events.send("request").ok();
             match request.uri().path() {
                 "/wait" => {
-                    let _tell = Tell(told);
+                    let _guard = NotifyOnDrop(events);
                     std::future::pending().await
                 }
                 "/cut" => {
@@ -55,21 +55,21 @@
 
 struct Server {
     address: SocketAddr,
-    gate: ListenerControl,
-    told: mpsc::UnboundedReceiver<&'static str>,
+    control: ListenerControl,
+    events: mpsc::UnboundedReceiver<&'static str>,
 }
 
 fn serve() -> Server {
-    let gate = ListenerControl::new(Duration::from_secs(60), 8_192);
+    let control = ListenerControl::new(Duration::from_secs(60), 8_192);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let listener = Listener::bind(any, gate.clone()).expect("bound");
+    let listener = Listener::bind(any, control.clone()).expect("bound");
     let address = listener.address().expect("an address");
-    let (tell, told) = mpsc::unbounded_channel();
-    actix_rt::spawn(listener.run(Rc::new(Paths(tell))));
+    let (sender, events) = mpsc::unbounded_channel();
+    actix_rt::spawn(listener.run(Rc::new(PathHandler(sender))));
     Server {
         address,
-        gate,
-        told,
+        control,
+        events,
     }
 }
 
@@ -78,18 +78,18 @@
     stream.write_all(bytes.as_bytes()).await.expect("written");
     stream.shutdown().await.expect("shut");
     let mut answer = Vec::new();
-    // A reset ends the answer as an end does.
+    // A reset ends the response like a regular end of stream.
     stream.read_to_end(&mut answer).await.ok();
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// How many requests the listener takes out of these bytes.
+/// Returns the number of requests that the listener parses from the bytes.
 fn requests(bytes: &'static str) -> usize {
     actix_rt::System::new().block_on(async {
         let mut server = serve();
         exchange(server.address, bytes).await;
         let mut count = 0;
-        while let Ok(word) = server.told.try_recv() {
+        while let Ok(word) = server.events.try_recv() {
             count += usize::from(word == "request");
         }
         count
@@ -97,14 +97,14 @@
 }
 
 cases! { requests;
-    one_request_is_one: "GET /echo HTTP/1.1\r\nhost: a\r\n\r\n" => 1,
-    a_request_in_a_body_is_a_body:
+    one_request_is_parsed_once: "GET /echo HTTP/1.1\r\nhost: a\r\n\r\n" => 1,
+    a_request_in_a_body_is_not_parsed:
         "POST /echo HTTP/1.1\r\nhost: a\r\ncontent-length: 34\r\n\r\nGET /echo HTTP/1.1\r\nhost: a\r\n\r\n..." => 1,
-    two_lengths_that_differ_are_refused:
+    conflicting_content_lengths_are_rejected:
         "POST /echo HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\ncontent-length: 5\r\n\r\nabcde" => 0,
-    an_encoding_that_is_not_chunked_last_is_refused:
+    a_transfer_encoding_not_ending_in_chunked_is_rejected:
         "POST /echo HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked, x\r\n\r\n0\r\n\r\n" => 0,
-    a_bare_line_is_no_request: "nonsense\r\n\r\n" => 0,
+    a_malformed_request_line_is_rejected: "nonsense\r\n\r\n" => 0,
 }
 
 #[test]
@@ -119,34 +119,34 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_its_request() {
+fn a_disconnect_of_the_caller_drops_its_request() {
     actix_rt::System::new().block_on(async {
         let mut server = serve();
         let mut stream = TcpStream::connect(server.address).await.expect("connected");
         let request = b"GET /wait HTTP/1.1\r\nhost: a\r\n\r\n";
         stream.write_all(request).await.expect("written");
-        assert_eq!(server.told.recv().await, Some("request"));
+        assert_eq!(server.events.recv().await, Some("request"));
         drop(stream);
-        assert_eq!(server.told.recv().await, Some("left"));
+        assert_eq!(server.events.recv().await, Some("left"));
     });
 }
 
 #[test]
-fn an_unfinished_answer_does_not_look_whole() {
+fn an_incomplete_response_has_no_final_chunk() {
     actix_rt::System::new().block_on(async {
         let server = serve();
         let answer = exchange(server.address, "GET /cut HTTP/1.1\r\nhost: a\r\n\r\n").await;
         assert!(!answer.ends_with("0\r\n\r\n"), "{answer:?}");
-        // What came before the break was ready, and is delivered.
+        // The chunks sent before the sender was dropped are delivered.
         assert!(answer.contains("half"), "{answer:?}");
     });
 }
 
 #[test]
-fn a_closing_listener_answers_and_says_so() {
+fn a_closing_listener_answers_with_connection_close() {
     actix_rt::System::new().block_on(async {
         let server = serve();
-        server.gate.begin_closing();
+        server.control.begin_closing();
         let request = "POST /echo HTTP/1.1\r\nhost: a\r\ncontent-length: 2\r\n\r\nhi";
         let answer = exchange(server.address, request).await;
         assert!(answer.contains("connection: close"), "{answer}");
@@ -163,9 +163,9 @@
         stream.write_all(request).await.expect("written");
         let mut answer = [0; 64];
         assert!(stream.read(&mut answer).await.expect("an answer") > 0);
-        server.gate.close();
+        server.control.close();
         let mut rest = Vec::new();
-        // Ends only if the connection is closed.
+        // Returns only if the connection is closed.
         stream.read_to_end(&mut rest).await.expect("closed");
     });
 }
--- a/crates/edge/tests/pool.rs
+++ b/crates/edge/tests/pool.rs
@@ -1,4 +1,4 @@
-//! What upstreams may do to a connection, and what becomes of the requests on it.
+//! Tests of the pool: faults of an upstream's connection and the outcome of the requests on it.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the upstream does after it has written an answer.
+/// What the upstream does after it has written a response.
 #[derive(Clone, Copy, PartialEq)]
 enum After {
     Keep,
@@ -19,7 +19,7 @@
     Reset,
 }
 
-/// An upstream's answers, in order; each connection goes on where the last one stopped.
+/// An upstream's responses in order. Each connection continues where the last one stopped.
 type Script = &'static [(&'static str, After)];
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -36,7 +36,7 @@
     true
 }
 
-async fn play(listener: TcpListener, script: Script) {
+async fn serve_script(listener: TcpListener, script: Script) {
     let mut next = script.iter();
     loop {
         let Ok((mut stream, _)) = listener.accept().await else {
@@ -75,7 +75,7 @@
     })
 }
 
-async fn ask(pool: &Pool, target: &Target) -> String {
+async fn fetch(pool: &Pool, target: &Target) -> String {
     let request = Request::get("/")
         .body(Full::new(Bytes::new()))
         .expect("a valid request");
@@ -93,17 +93,17 @@
     }
 }
 
-/// Sends as many requests as the script has answers, one after the other.
-fn answers(script: Script) -> Vec<String> {
+/// Sends as many requests as the script has responses, one after the other.
+fn responses(script: Script) -> Vec<String> {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let target = target(listener.local_addr().expect("an address"));
-        let server = actix_rt::spawn(play(listener, script));
+        let server = actix_rt::spawn(serve_script(listener, script));
         let pool = pool();
         let mut out = Vec::new();
         for _ in script {
-            out.push(ask(&pool, &target).await);
-            // Lets the connection's task see what came after the answer.
+            out.push(fetch(&pool, &target).await);
+            // Lets the connection's task read what follows the response.
             for _ in 0..20 {
                 tokio::task::yield_now().await;
             }
@@ -117,51 +117,51 @@
     list.iter().map(|t| (*t).to_owned()).collect()
 }
 
-cases! { answers;
-    a_kept_connection_serves_again: &[(OK, After::Keep), (OK, After::Keep)]
+cases! { responses;
+    an_idle_connection_is_reused: &[(OK, After::Keep), (OK, After::Keep)]
         => texts(&["200 ok", "200 ok"]),
-    an_extra_answer_belongs_to_no_request:
+    an_extra_response_is_discarded:
         &[("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx",
             After::Keep), (OK, After::Keep)]
         => texts(&["200 a", "200 ok"]),
-    half_an_extra_answer_belongs_to_no_request:
+    a_partial_extra_response_is_discarded:
         &[("HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 2", After::Keep), (OK, After::Keep)]
         => texts(&["200 a", "200 ok"]),
-    a_body_cut_short_is_not_whole:
+    a_truncated_body_is_broken:
         &[("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\npart", After::Close)]
         => texts(&["200 then Broken"]),
-    a_chunk_cut_short_is_not_whole:
+    a_truncated_chunk_is_broken:
         &[("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npa", After::Close)]
         => texts(&["200 then Broken"]),
-    chunks_without_an_end_are_not_whole:
+    chunks_without_a_final_chunk_are_broken:
         &[("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n", After::Close)]
         => texts(&["200 then Broken"]),
     a_body_without_length_ends_with_its_connection:
         &[("HTTP/1.1 200 OK\r\n\r\nall", After::Close), (OK, After::Keep)]
         => texts(&["200 all", "200 ok"]),
-    bytes_that_are_no_answer_break_the_request:
+    a_malformed_response_is_broken:
         &[("garbage\r\n\r\n", After::Keep)] => texts(&["Broken"]),
-    a_connection_closed_without_an_answer_may_have_run:
+    a_connection_closed_without_a_response_is_broken:
         &[("", After::Close)] => texts(&["Broken"]),
-    a_reset_without_an_answer_may_have_run:
+    a_reset_without_a_response_is_broken:
         &[("", After::Reset)] => texts(&["Broken"]),
 }
 
 #[test]
-fn a_body_without_length_that_is_reset_is_not_whole() {
-    let got = answers(&[("HTTP/1.1 200 OK\r\n\r\npart", After::Reset)]);
-    // The reset may overtake the head; in no case is the answer whole.
+fn a_reset_body_without_length_is_broken() {
+    let got = responses(&[("HTTP/1.1 200 OK\r\n\r\npart", After::Reset)]);
+    // The reset may arrive before the head is read; the response is incomplete either way.
     assert!(got[0].ends_with("Broken"), "{got:?}");
 }
 
 #[test]
-fn nobody_at_the_address_means_not_sent() {
+fn a_refused_connection_means_not_sent() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let target = target(listener.local_addr().expect("an address"));
         drop(listener);
         assert_eq!(
-            ask(&pool(), &target).await,
+            fetch(&pool(), &target).await,
             format!("{:?}", SendError::NotSent)
         );
     });
@@ -173,12 +173,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let target = target(listener.local_addr().expect("an address"));
         let pool = pool();
-        let request = actix_rt::spawn(async move { ask(&pool, &target).await });
+        let request = actix_rt::spawn(async move { fetch(&pool, &target).await });
         let (mut stream, _) = listener.accept().await.expect("accepted");
         assert!(read_head(&mut stream).await);
         request.abort();
         let mut rest = Vec::new();
-        // Ends only if the connection is closed.
+        // Returns only if the connection is closed.
         let end = stream.read_to_end(&mut rest).await;
         assert!(end.is_err() || rest.is_empty());
     });
--- a/crates/edge/tests/suspended.rs
+++ b/crates/edge/tests/suspended.rs
@@ -1,7 +1,7 @@
-//! An instance that was suspended: the boot time went on, the steady clock and all timers did not.
+//! Tests of a suspended instance: the boot time advances, the monotonic clock and timers do not.
 //!
-//! After four seconds a daemon believed its connections, deadlines and whatever it had read to be
-//! four seconds younger than they were.
+//! Without the boot clock, a daemon suspended for four seconds took its connections, deadlines and
+//! everything it had read to be four seconds younger than they were.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,44 +16,44 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Boot time that the test lets go by, while the steady clock stands.
+/// A boot time that the test advances while the monotonic clock stands still.
 #[derive(Default)]
-struct Boot(Cell<u64>);
+struct ManualBootTime(Cell<u64>);
 
-impl TimeSource for Boot {
+impl TimeSource for ManualBootTime {
     fn elapsed(&self) -> Duration {
         Duration::from_millis(self.0.get())
     }
 }
 
-fn clock() -> (Rc<Boot>, Clock) {
-    let boot = Rc::new(Boot::default());
+fn clock() -> (Rc<ManualBootTime>, Clock) {
+    let boot = Rc::new(ManualBootTime::default());
     let time: Rc<dyn TimeSource> = boot.clone();
     (boot, Clock::from_time(time))
 }
 
-/// How long the looks of a process say that it was suspended; each look is what the boot time and the
-/// steady clock show.
-fn suspended(looks: &[(u64, u64)]) -> Vec<u64> {
-    let mut suspensions = SuspensionDetector::default();
-    let mut look = |(boot, steady): &(u64, u64)| {
+/// Returns the suspensions detected, in milliseconds, one per observation. An observation is the
+/// boot time and the monotonic time.
+fn suspended(observations: &[(u64, u64)]) -> Vec<u64> {
+    let mut detector = SuspensionDetector::default();
+    let mut observe = |(boot, monotonic): &(u64, u64)| {
         let millis = Duration::from_millis;
-        let found = suspensions.observe(millis(*boot), millis(*steady));
+        let found = detector.observe(millis(*boot), millis(*monotonic));
         found.map_or(0, |m| m.0)
     };
-    looks.iter().map(&mut look).collect()
+    observations.iter().map(&mut observe).collect()
 }
 
 cases! { suspended;
     clocks_that_agree: &[(10, 10), (2_000, 2_000)] => vec![0, 0],
-    a_stall_is_no_suspension: &[(10, 10), (5_000, 4_990)] => vec![0, 0],
+    a_stall_is_not_a_suspension: &[(10, 10), (5_000, 4_990)] => vec![0, 0],
     a_suspension: &[(10, 10), (4_020, 20), (4_030, 30)] => vec![0, 4_000, 0],
     two_suspensions: &[(10, 10), (1_020, 20), (3_030, 30)] => vec![0, 1_000, 2_000],
-    one_before_the_process_started: &[(9_000, 10), (9_010, 20)] => vec![0, 0],
+    a_suspension_before_the_process_started: &[(9_000, 10), (9_010, 20)] => vec![0, 0],
 }
 
 #[test]
-fn who_sleeps_wakes_once_the_time_is_over() {
+fn a_sleeping_task_wakes_after_a_suspension() {
     actix_rt::System::new().block_on(async {
         let (boot, clock) = clock();
         let until = clock.now().plus(60_000);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_kept_connection_is_not_used_beyond_its_time() {
+fn an_expired_idle_connection_is_not_reused() {
     actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let address: SocketAddr = listener.local_addr().expect("an address");
@@ -86,17 +86,17 @@
             name: Upstream::from_text("up").expect("a valid name"),
             address,
         };
-        ask(&pool, &target).await;
-        ask(&pool, &target).await;
+        fetch(&pool, &target).await;
+        fetch(&pool, &target).await;
         assert_eq!(pool.opened(), 1);
         boot.0.set(4_000);
-        ask(&pool, &target).await;
+        fetch(&pool, &target).await;
         assert_eq!(pool.opened(), 2);
     });
 }
 
-/// Asks once; the connection may be kept for three seconds.
-async fn ask(pool: &Pool, target: &Target) {
+/// Sends one request; the connection may stay idle for three seconds.
+async fn fetch(pool: &Pool, target: &Target) {
     let request = Request::get("/").body(Full::new(Bytes::new()));
     let exchange = pool.send(target, request.expect("valid")).await;
     let mut exchange = exchange.expect("an answer");
@@ -104,7 +104,7 @@
     exchange.finish(Duration::from_secs(3));
 }
 
-/// Answers whatever comes.
+/// Answers every request.
 async fn answer(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         actix_rt::spawn(async move {
