--- a/crates/border/src/engine.rs
+++ b/crates/border/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines.
+//! The interface to model engines.
 
 use crate::UpstreamReport;
 use futures_util::future::LocalBoxFuture;
@@ -8,53 +8,53 @@
 use shaleline_types::RequestId;
 use std::fmt;
 
-/// A request to generate.
+/// A request to generate tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateRequest {
     /// The request.
     pub id: RequestId,
-    /// Its attempt; answers are matched by both.
+    /// The number of the attempt; responses are matched by both `id` and `attempt`.
     pub attempt: u32,
-    /// The weights, or the adapter on top of them.
+    /// The model version, with the adapter if one is used.
     pub item: Item,
     /// The prompt.
     pub prompt: String,
-    /// How many tokens at the most.
+    /// The maximum number of tokens to generate.
     pub tokens: u32,
-    /// The position to resume from, in tokens of the answer.
+    /// The position to resume from, in tokens of the response.
     pub from: u32,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Keys of the prompt's blocks, salted by organisation.
+    /// The hash keys of the prompt's blocks, salted by organisation.
     pub blocks: Vec<u64>,
 }
 
-/// One event of an answer.
+/// One event of a generated response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GenerateEvent {
     /// A token.
     Token {
-        /// Its position in the answer, from 0.
+        /// Its position in the response, starting at 0.
         index: u32,
         /// Its text.
         text: String,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End {
-        /// How many tokens it has in all, those before a resumption included.
+        /// The total number of tokens, including those before a resumption.
         total: u32,
     },
 }
 
-/// Why a send failed, as far as it can be known.
+/// Why a send failed, as far as the sender can determine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendError {
     /// The connection failed before a byte was written.
     NotSent,
-    /// The upstream said that it did not run it.
+    /// The upstream responded that it did not run the request.
     Refused,
-    /// It failed later.
+    /// The connection failed after the request was written at least in part.
     Broken,
 }
 
@@ -70,32 +70,32 @@
 
 impl std::error::Error for SendError {}
 
-/// The events of an answer as they come.
+/// The stream of events of a generated response.
 pub type GenerateStream = LocalBoxStream<'static, Result<GenerateEvent, SendError>>;
 
-/// Model engines, each by its address.
+/// Access to model engines, each identified by its address.
 pub trait Engines {
-    /// Asks an upstream, engine or plain service, for its report.
+    /// Fetches the report of an upstream, either an engine or a plain service.
     fn report<'a>(
         &'a self,
         address: &'a str,
     ) -> LocalBoxFuture<'a, Result<UpstreamReport, SendError>>;
 
-    /// Sends an order. That it was taken says nothing of how it ends.
+    /// Sends an order. Success means that the order was accepted, not that it was completed.
     fn order<'a>(
         &'a self,
         address: &'a str,
         order: &'a Order,
     ) -> LocalBoxFuture<'a, Result<(), SendError>>;
 
-    /// Sends a request to generate and returns the answer's events.
+    /// Sends a request to generate and returns the response's events.
     fn generate<'a>(
         &'a self,
         address: &'a str,
         request: &'a GenerateRequest,
     ) -> LocalBoxFuture<'a, Result<GenerateStream, SendError>>;
 
-    /// Gives up an attempt. Nothing waits for the outcome.
+    /// Cancels an attempt. Errors are ignored.
     fn cancel<'a>(
         &'a self,
         address: &'a str,
--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,14 +1,14 @@
 //! The border between shaleline and the platform it runs on.
 //!
-//! Three traits, and [`shaleline_log::LogService`] beside them, are all that an adapter
-//! for another dialect has to implement; nothing else changes. The weight store is met
-//! through its limits alone, which are settings of the daemon.
+//! An adapter for another platform protocol implements the three traits of this crate and
+//! [`shaleline_log::LogService`]; nothing else changes. There is no trait for the weight store:
+//! only its limits matter, and they are settings of the daemon.
 //!
-//! * [`InstanceList`]: the lagging list of live and leaving instances.
+//! * [`InstanceList`]: the delayed list of live and leaving instances.
 //! * [`Engines`]: reports, orders, generation and cancellation at model engines.
 //! * [`Services`]: calls to plain services.
 //!
-//! The types are also the wire format of the stand-ins, as `docs/PLATFORM.md` has it.
+//! The types also define the wire format of the stand-ins; see `docs/PLATFORM.md`.
 
 mod engine;
 mod list;
--- a/crates/border/src/report.rs
+++ b/crates/border/src/report.rs
@@ -1,9 +1,9 @@
-//! What an upstream says of itself. It lags.
+//! The reports of upstreams, which arrive with a delay.
 
 use serde::{Deserialize, Serialize};
 use shaleline_place::EngineReport;
 
-/// Blocks that an engine has cached since the number before. Late, and with gaps.
+/// The blocks that an engine has cached since its last report. Events may be late or missing.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The blocks' keys, as given with the requests.
@@ -13,18 +13,18 @@
 /// An upstream's report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamReport {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: usize,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: usize,
-    /// Requests that it runs at once within its target.
+    /// The number of requests that it can run concurrently within its latency objective.
     pub slots: usize,
     /// Whether it is leaving.
     pub leaving: bool,
     /// Memory in use now, in megabytes; zero for a plain service.
     #[serde(default)]
     pub used: u64,
-    /// What the ledger needs; none for a plain service.
+    /// The engine state for the ledger; none for a plain service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub engine: Option<EngineReport>,
     /// Cache events; empty for a plain service.
--- a/crates/border/src/service.rs
+++ b/crates/border/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services.
+//! The interface to plain services.
 
 use crate::SendError;
 use futures_util::future::LocalBoxFuture;
@@ -18,7 +18,7 @@
     pub body: Vec<u8>,
 }
 
-/// A plain service's whole answer.
+/// The complete response of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceResponse {
     /// The HTTP status.
@@ -29,10 +29,10 @@
     pub body: Vec<u8>,
 }
 
-/// Plain services, each replica by its address.
+/// Access to plain services, each replica identified by its address.
 pub trait Services {
-    /// Makes a call on a connection of its own, so that a failure to connect is told
-    /// apart from any later one.
+    /// Makes a call on a new connection, so that a failure to connect can be distinguished
+    /// from a later one.
     fn call<'a>(
         &'a self,
         address: &'a str,
--- a/crates/dialect/src/http.rs
+++ b/crates/dialect/src/http.rs
@@ -1,4 +1,4 @@
-//! Instances, engines and plain services over HTTP.
+//! Access to the instance list, engines and plain services over HTTP.
 
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, ClientBuilder, Connector};
@@ -13,21 +13,21 @@
 use shaleline_types::RequestId;
 use std::time::Duration;
 
-/// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_millis(1_000);
+/// The timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long a short call may take.
-const SHORT: Duration = Duration::from_millis(1_500);
+/// The timeout for short calls.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long a request may take in all. Hanging ones are given up far earlier, by the
-/// router.
-const LONG: Duration = Duration::from_secs(600);
+/// The timeout for a whole request. The router abandons stalled requests much earlier.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
 const CONFLICT: u16 = 409;
-const SERVICE_LIMIT: usize = 4 << 20;
-const REPORT_LIMIT: usize = 4 << 20;
+const SERVICE_BODY_BYTES: usize = 4 << 20;
+const REPORT_BODY_BYTES: usize = 4 << 20;
 
-/// The platform over HTTP. One for each thread, because its connections are.
+/// A client of the platform over HTTP. Each thread has its own, because connections belong to
+/// one thread.
 #[derive(Clone)]
 pub struct HttpPlatform {
     client: Client,
@@ -35,13 +35,13 @@
 }
 
 impl HttpPlatform {
-    /// Speaks to the log and the list at `platform`, an `IP:PORT`.
+    /// Creates a client of the log and the list at `platform`, an `IP:PORT`.
     #[must_use]
     pub fn new(platform: &str) -> Self {
-        let connector = Connector::new().timeout(CONNECT).limit(0);
+        let connector = Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
         let client = ClientBuilder::new()
             .connector(connector)
-            .timeout(LONG)
+            .timeout(REQUEST_TIMEOUT)
             .disable_redirects()
             .finish();
         Self {
@@ -59,9 +59,9 @@
     }
 }
 
-/// Tells a failure before the first byte apart from any later one. The client calls a
-/// connection that closed without an answer a failure to connect too; by then the request
-/// may have run.
+/// Distinguishes a failure before the first byte from a later one. The client also reports a
+/// connection closed without a response as a failure to connect, although the request may have
+/// run.
 pub(crate) fn send_error(error: &SendRequestError) -> SendError {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => SendError::Broken,
@@ -82,11 +82,11 @@
     fn list(&self) -> LocalBoxFuture<'_, Result<Vec<ListedInstance>, ListError>> {
         Box::pin(async move {
             let url = format!("http://{}/instances", self.platform);
-            let sent = self.client.get(url).timeout(SHORT).send().await;
-            let mut answer = sent.map_err(|_| ListError)?;
-            let body = answer
+            let sent = self.client.get(url).timeout(SHORT_TIMEOUT).send().await;
+            let mut response = sent.map_err(|_| ListError)?;
+            let body = response
                 .json::<Vec<ListedInstance>>()
-                .limit(REPORT_LIMIT)
+                .limit(REPORT_BODY_BYTES)
                 .await;
             body.map_err(|_| ListError)
         })
@@ -100,9 +100,12 @@
     ) -> LocalBoxFuture<'a, Result<UpstreamReport, SendError>> {
         Box::pin(async move {
             let url = format!("http://{address}/v1/report");
-            let sent = self.client.get(url).timeout(SHORT).send().await;
-            let mut answer = sent.map_err(|e| send_error(&e))?;
-            let body = answer.json::<UpstreamReport>().limit(REPORT_LIMIT).await;
+            let sent = self.client.get(url).timeout(SHORT_TIMEOUT).send().await;
+            let mut response = sent.map_err(|e| send_error(&e))?;
+            let body = response
+                .json::<UpstreamReport>()
+                .limit(REPORT_BODY_BYTES)
+                .await;
             body.map_err(|_| SendError::Broken)
         })
     }
@@ -114,12 +117,17 @@
     ) -> LocalBoxFuture<'a, Result<(), SendError>> {
         Box::pin(async move {
             let url = format!("http://{address}/v1/orders");
-            let sent = self.client.post(url).timeout(SHORT).send_json(order).await;
-            let answer = sent.map_err(|e| send_error(&e))?;
-            if answer.status().is_success() {
+            let sent = self
+                .client
+                .post(url)
+                .timeout(SHORT_TIMEOUT)
+                .send_json(order)
+                .await;
+            let response = sent.map_err(|e| send_error(&e))?;
+            if response.status().is_success() {
                 return Ok(());
             }
-            Err(status_error(answer.status().as_u16()))
+            Err(status_error(response.status().as_u16()))
         })
     }
 
@@ -131,11 +139,11 @@
         Box::pin(async move {
             let url = format!("http://{address}/v1/generate");
             let sent = self.client.post(url).send_json(request).await;
-            let answer = sent.map_err(|e| send_error(&e))?;
-            if !answer.status().is_success() {
-                return Err(status_error(answer.status().as_u16()));
+            let response = sent.map_err(|e| send_error(&e))?;
+            if !response.status().is_success() {
+                return Err(status_error(response.status().as_u16()));
             }
-            let events = answer.eventsource().map(|event| {
+            let events = response.eventsource().map(|event| {
                 let event = event.map_err(|_| SendError::Broken)?;
                 serde_json::from_str::<GenerateEvent>(&event.data).map_err(|_| SendError::Broken)
             });
@@ -151,7 +159,7 @@
     ) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
             let url = format!("http://{address}/v1/cancel?id={}&attempt={attempt}", id.0);
-            let _ = self.client.post(url).timeout(SHORT).send().await;
+            let _ = self.client.post(url).timeout(SHORT_TIMEOUT).send().await;
         })
     }
 }
@@ -173,13 +181,13 @@
                 request = request.insert_header(("idempotency-key", key.as_str()));
             }
             let sent = request.send_body(call.body.clone()).await;
-            let mut answer = sent.map_err(|e| send_error(&e))?;
-            let body = answer.body().limit(SERVICE_LIMIT).await;
+            let mut response = sent.map_err(|e| send_error(&e))?;
+            let body = response.body().limit(SERVICE_BODY_BYTES).await;
             let body = body.map_err(|_| SendError::Broken)?;
-            let mime = answer.headers().get("content-type");
+            let mime = response.headers().get("content-type");
             let mime = mime.and_then(|m| m.to_str().ok()).unwrap_or_default();
             Ok(ServiceResponse {
-                status: answer.status().as_u16(),
+                status: response.status().as_u16(),
                 mime: mime.to_owned(),
                 body: body.to_vec(),
             })
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's published protocols over HTTP, as the stand-ins speak them.
+//! The platform's published protocols over HTTP, as implemented by the stand-ins.
 //!
-//! [`HttpPlatform`] implements the border's traits with `awc`. An adapter for another
-//! dialect is a crate like this one.
+//! [`HttpPlatform`] implements the traits of `shaleline_border` with `awc`. Support for another
+//! protocol is a separate crate like this one.
 
 mod http;
 mod log;
--- a/crates/dialect/src/log.rs
+++ b/crates/dialect/src/log.rs
@@ -9,8 +9,8 @@
 use shaleline_types::{Millis, Offset, Stream};
 use std::time::Duration;
 
-/// The largest answer to a read.
-const READ_LIMIT: usize = 64 << 20;
+/// The largest response to a read.
+const READ_BODY_BYTES: usize = 64 << 20;
 
 /// The body of an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -19,14 +19,14 @@
     pub records: Vec<String>,
 }
 
-/// The answer to an append.
+/// The response to an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct AppendResponse {
     /// The offset of the first record.
     pub first: Offset,
 }
 
-const TOO_MANY: u16 = 429;
+const TOO_MANY_REQUESTS: u16 = 429;
 
 impl LogService for HttpPlatform {
     fn append<'a>(
@@ -40,15 +40,15 @@
                 records: records.to_vec(),
             };
             let sent = self.client().post(url).send_json(&body).await;
-            let mut answer = match sent {
-                Ok(answer) => answer,
+            let mut response = match sent {
+                Ok(response) => response,
                 Err(e) if send_error(&e) == SendError::NotSent => return AppendOutcome::Refused,
                 Err(_) => return AppendOutcome::Lost,
             };
-            if answer.status().as_u16() == TOO_MANY {
+            if response.status().as_u16() == TOO_MANY_REQUESTS {
                 return AppendOutcome::Refused;
             }
-            match answer.json::<AppendResponse>().await {
+            match response.json::<AppendResponse>().await {
                 Ok(body) => AppendOutcome::At(body.first),
                 Err(_) => AppendOutcome::Lost,
             }
@@ -70,11 +70,11 @@
             );
             let timeout = Duration::from_millis(wait.0 + 2_000);
             let sent = self.client().get(url).timeout(timeout).send().await;
-            let mut answer = sent.map_err(|_| LogError)?;
-            if !answer.status().is_success() {
+            let mut response = sent.map_err(|_| LogError)?;
+            if !response.status().is_success() {
                 return Err(LogError);
             }
-            let body = answer.json::<ReadBatch>().limit(READ_LIMIT).await;
+            let body = response.json::<ReadBatch>().limit(READ_BODY_BYTES).await;
             body.map_err(|_| LogError)
         })
     }
--- a/crates/dialect/tests/send.rs
+++ b/crates/dialect/tests/send.rs
@@ -1,4 +1,4 @@
-//! Failures before the first byte are told apart from later ones.
+//! Tests that failures before the first byte are distinguished from later ones.
 
 use shaleline_border::{SendError, ServiceCall, Services};
 use shaleline_dialect::HttpPlatform;
@@ -7,8 +7,8 @@
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 
-/// A server that reads a request and closes without an answer.
-fn mute() -> SocketAddr {
+/// Starts a server that reads a request and closes the connection without a response.
+fn closing_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -21,8 +21,8 @@
     address
 }
 
-/// An address where nobody listens.
-fn nobody() -> SocketAddr {
+/// Returns an address at which no process listens.
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     listener.local_addr().expect("an address")
 }
@@ -53,15 +53,15 @@
 }
 
 #[test]
-fn nobody_there_means_not_sent() {
-    assert_eq!(call(nobody()), Err(SendError::NotSent));
-    assert_eq!(append(nobody()), AppendOutcome::Refused);
+fn a_refused_connection_means_not_sent() {
+    assert_eq!(call(unused_address()), Err(SendError::NotSent));
+    assert_eq!(append(unused_address()), AppendOutcome::Refused);
 }
 
-/// Found by scripts/faults.sh: the client reports a connection that closed without an
-/// answer as a failure to connect, and a call that had run was told as not run.
+/// The client reports a connection closed without a response as a failure to connect, and a call
+/// that had run was reported as not run.
 #[test]
-fn regression_a_connection_closed_without_an_answer_may_have_run() {
-    assert_eq!(call(mute()), Err(SendError::Broken));
-    assert_eq!(append(mute()), AppendOutcome::Lost);
+fn regression_a_connection_closed_without_a_response_may_have_run() {
+    assert_eq!(call(closing_server()), Err(SendError::Broken));
+    assert_eq!(append(closing_server()), AppendOutcome::Lost);
 }
--- a/crates/peer/src/api.rs
+++ b/crates/peer/src/api.rs
@@ -1,4 +1,4 @@
-//! The calls between daemons. Each bears the secret that the daemons share.
+//! The calls between daemons. Each call carries the secret that the daemons share.
 
 use crate::Heartbeat;
 use jsonrpsee::core::RpcResult;
@@ -7,7 +7,7 @@
 use shaleline_types::{Model, Offset, Org, Stream, WriterId};
 use std::collections::BTreeMap;
 
-/// Asks for a part of a limit that the other daemon does not use.
+/// Requests a loan of the unused part of another daemon's limit.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoanRequest {
     /// The organisation.
@@ -16,40 +16,40 @@
     pub limit: String,
 }
 
-/// Asks for the records of a stream that the other daemon has.
+/// Requests another daemon's state of a stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayRequest {
     /// The stream.
     pub stream: Stream,
-    /// The offset of the next record that the asking daemon has not applied.
+    /// The offset of the next record that the calling daemon has not applied.
     pub next: Offset,
 }
 
-/// Tells the owner of the cell what a daemon's callers ask for.
+/// Reports the demand of a daemon's callers to the owner of the cell.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DemandReport {
     /// The daemon.
     pub writer: WriterId,
-    /// Tokens a second that are asked of each model.
+    /// The requested tokens per second of each model.
     pub rates: BTreeMap<Model, f64>,
 }
 
 #[rpc(server, client)]
 pub trait PeerApi {
-    /// Exchanges news of who is alive.
+    /// Exchanges membership status.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, secret: String, message: Heartbeat) -> RpcResult<Heartbeat>;
 
-    /// Lends a part of a limit; zero if there is none to lend.
+    /// Lends a part of a limit and returns its amount, zero if nothing can be lent.
     #[method(name = "lend")]
     async fn lend(&self, secret: String, request: LoanRequest) -> RpcResult<u64>;
 
-    /// Takes note of what a daemon's callers ask for.
+    /// Records the demand of another daemon's callers.
     #[method(name = "demand")]
     async fn demand(&self, secret: String, report: DemandReport) -> RpcResult<()>;
 
-    /// A snapshot that reaches further than the asking daemon, as chunks of text; none if
-    /// this one is no further.
+    /// Returns a snapshot at a later offset than the calling daemon's, as chunks of text. The
+    /// list is empty if this daemon has not applied more records.
     #[method(name = "relay")]
     async fn relay(&self, secret: String, request: RelayRequest) -> RpcResult<Vec<String>>;
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,12 +1,12 @@
 //! Membership and the calls between daemons.
 //!
-//! * [`Membership`] decides who is alive, from heartbeats that a few daemons exchange each
-//!   round and pass on, and from the platform's lagging list.
-//! * [`PeerApi`] is the calls themselves, over `jsonrpsee`: heartbeats, loans of limits,
-//!   and the log's records and snapshots for a daemon that can't reach the log.
+//! * [`Membership`] decides which daemons are alive, from heartbeats that daemons gossip each
+//!   round and from the platform's delayed list.
+//! * [`PeerApi`] defines the calls over `jsonrpsee`: heartbeats, loans of limits, demand
+//!   reports, and the log's state for a daemon that can't reach the log.
 //!
-//! Nothing is agreed upon here: whatever must be goes through the log. The ways that
-//! were weighed are in `docs/MEMBERSHIP.md`.
+//! This crate provides no consensus: every decision that needs agreement goes through the log.
+//! `docs/MEMBERSHIP.md` compares the alternatives.
 
 mod api;
 mod member;
--- a/crates/peer/src/member.rs
+++ b/crates/peer/src/member.rs
@@ -1,54 +1,55 @@
-//! What daemons tell each other of themselves.
+//! The membership information that daemons exchange.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{DataCentre, Instance, Offset, WriterId};
 
-/// A life of a daemon on an instance.
+/// Identifies one incarnation of the daemon on an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
     /// The instance.
     #[serde(rename = "i")]
     pub instance: Instance,
-    /// When this life began, by the instance's wall clock in milliseconds. A later life
-    /// of the same instance replaces an earlier one.
+    /// The start of the process by the instance's wall clock, in milliseconds. A later
+    /// incarnation replaces an earlier one on the same instance.
     #[serde(rename = "b")]
     pub incarnation: u64,
 }
 
-/// A daemon as it tells of itself.
+/// The full description of a daemon, as announced by itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The instance and its life.
+    /// The instance and its incarnation.
     pub id: MemberId,
-    /// The identity that its records bear.
+    /// The writer identity of its log records.
     pub writer: WriterId,
     /// Its data centre.
     pub centre: DataCentre,
-    /// Where it answers other daemons, `IP:PORT`.
+    /// The address for other daemons, `IP:PORT`.
     pub peer: String,
-    /// Where it answers callers, `IP:PORT`.
+    /// The address for callers, `IP:PORT`.
     pub caller: String,
-    /// Counts its rounds; a larger count is fresher.
+    /// The number of its heartbeat rounds; a larger number is more recent.
     #[serde(rename = "beat")]
     pub round: u64,
     /// The offset of the next configuration record that it has not applied.
     pub config: Offset,
     /// Whether it is stopping.
     pub leaving: bool,
-    /// How often it has denied to be gone. Only it itself raises this, so that old news
-    /// from others can neither revive it nor keep it dead.
-    #[serde(rename = "denials", default)]
+    /// How many suspicions it has refuted. Only the daemon itself increments this, so that
+    /// outdated status from others can neither revive it nor keep it marked as gone.
+    #[serde(default)]
+    #[serde(rename = "denials")]
     pub refutations: u32,
 }
 
-/// What changes about a daemon from round to round, in few bytes: short names on the
-/// wire, because a daemon has 2 KB a second for all of its control.
+/// The part of a [`Member`] that changes between rounds. The names on the wire are short
+/// because a daemon's budget for all control traffic is 2 KB per second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The instance and its life.
+    /// The instance and its incarnation.
     #[serde(flatten)]
     pub id: MemberId,
-    /// See [`Member::beat`].
+    /// See [`Member::round`].
     #[serde(rename = "n")]
     pub round: u64,
     /// See [`Member::config`].
@@ -60,7 +61,7 @@
     /// See [`Member::refutations`].
     #[serde(rename = "d", default, skip_serializing_if = "is_zero")]
     pub refutations: u32,
-    /// Whether the teller suspects it to be gone.
+    /// Whether the sender of this status suspects the daemon to be gone.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspect: bool,
 }
@@ -70,7 +71,7 @@
 }
 
 impl Member {
-    /// The part that changes.
+    /// Returns the part that changes between rounds.
     #[must_use]
     pub fn to_status(&self) -> MemberStatus {
         MemberStatus {
@@ -84,20 +85,20 @@
     }
 }
 
-/// A round's message and its answer.
+/// The message of a heartbeat round, and the response to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     #[serde(rename = "f")]
     pub from: MemberStatus,
-    /// Others that the sender believes alive or leaving.
+    /// The status of other daemons that the sender knows.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub others: Vec<MemberStatus>,
-    /// Daemons in full: the sender while it is new and now and then, and whom the other
-    /// side asked for.
+    /// Full descriptions: of the sender while it is new and periodically, and of the
+    /// instances that the receiver asked for.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub full: Vec<Member>,
-    /// Instances that the sender heard of and knows nothing else about.
+    /// Instances whose full description the sender lacks.
     #[serde(rename = "a", default, skip_serializing_if = "Vec::is_empty")]
     pub ask: Vec<Instance>,
 }
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -1,36 +1,36 @@
-//! Who is alive, as this daemon believes.
+//! The daemons that this daemon considers alive.
 
 use crate::{Heartbeat, Member, MemberId, MemberStatus};
 use shaleline_types::{stable_hash, Instance, Millis, Offset, WriterId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Rounds for which a daemon counts as new and introduces itself in full.
-const NEW_BEATS: u64 = 10;
+/// The rounds after its start in which a daemon sends its full description.
+const INTRODUCTION_ROUNDS: u64 = 10;
 
-/// Rounds between two introductions after that.
-const FULL_EVERY: u64 = 32;
+/// The interval of full descriptions after that, in rounds.
+const FULL_INTERVAL_ROUNDS: u64 = 32;
 
-/// How often news is told: a few times, and more among many.
-const NEWS_BASE: u32 = 4;
-const NEWS_MORE: u32 = 3;
+/// How many times an update is sent: a base count, and more for each doubling of the members.
+const UPDATE_SENDS_BASE: u32 = 4;
+const UPDATE_SENDS_PER_DOUBLING: u32 = 3;
 
-/// Names of unknown daemons that are kept; more are nonsense and are dropped.
-const MOST_STRANGERS: usize = 1_024;
+/// The maximum number of unknown instances to remember; larger sets are invalid and discarded.
+const MAX_UNKNOWN: usize = 1_024;
 
-/// How many unknown daemons a message asks about.
-const MOST_ASKED: usize = 4;
+/// The maximum number of full descriptions that a message requests or returns.
+const MAX_ASKED: usize = 4;
 
-/// What an operator sets.
+/// The settings of membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberSettings {
-    /// How many daemons each round's message goes to.
+    /// The number of daemons that receive each round's message.
     pub fanout: usize,
-    /// How many others a message tells of.
+    /// The number of other daemons whose status a message carries.
     pub gossip: usize,
-    /// How long a daemon to which a call failed may take to deny that it is gone.
+    /// How long a suspected daemon may take to refute the suspicion.
     pub suspicion_timeout: Millis,
-    /// How long a daemon may not be heard of at all; one that is gone is remembered for
-    /// twice as long, so that late news can't revive it.
+    /// The time without any update after which a daemon is considered gone. It is remembered
+    /// for twice this time, so that outdated status can't revive it.
     pub silence_timeout: Millis,
 }
 
@@ -45,148 +45,152 @@
     }
 }
 
-/// A change in who is alive.
+/// A change of the set of live daemons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberEvent {
     /// A daemon joined.
     Joined(MemberId),
-    /// A daemon left or fell silent.
+    /// A daemon left or is considered gone.
     Left(MemberId),
 }
 
-/// What is believed of a daemon.
+/// The state of a daemon, as this daemon sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Belief {
+enum Liveness {
     Alive,
-    /// A call to it failed; it has until the suspicion ends to deny.
+    /// A call to it failed at this time; it may still refute the suspicion.
     Suspect(Millis),
     Gone,
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownMember {
     member: Member,
-    heard: Millis,
-    belief: Belief,
+    updated: Millis,
+    liveness: Liveness,
 }
 
-impl Known {
+impl KnownMember {
     fn is_alive(&self) -> bool {
-        self.belief != Belief::Gone && !self.member.leaving
+        self.liveness != Liveness::Gone && !self.member.leaving
     }
 
     fn to_status(&self) -> MemberStatus {
         MemberStatus {
-            suspect: self.belief != Belief::Alive,
+            suspect: self.liveness != Liveness::Alive,
             ..self.member.to_status()
         }
     }
 }
 
-/// The daemons that this one knows of.
+/// The daemons that this daemon knows.
 #[derive(Debug)]
 pub struct Membership {
     settings: MemberSettings,
-    me: Member,
-    known: BTreeMap<Instance, Known>,
-    /// Instances that were heard of and are not known in full.
-    strangers: BTreeSet<Instance>,
-    /// Whom there is news of, and how often that is still to be told.
-    news: BTreeMap<Instance, u32>,
+    local: Member,
+    known: BTreeMap<Instance, KnownMember>,
+    /// Instances whose full description is not known.
+    unknown: BTreeSet<Instance>,
+    /// The instances with an update to spread, and how many more times it is sent.
+    updates: BTreeMap<Instance, u32>,
     events: Vec<MemberEvent>,
 }
 
 impl Membership {
-    /// Knows only itself.
+    /// Creates a membership that contains only this daemon.
     #[must_use]
-    pub fn new(settings: MemberSettings, me: Member) -> Self {
+    pub fn new(settings: MemberSettings, local: Member) -> Self {
         Self {
             settings,
-            me,
+            local,
             known: BTreeMap::new(),
-            strangers: BTreeSet::new(),
-            news: BTreeMap::new(),
+            unknown: BTreeSet::new(),
+            updates: BTreeMap::new(),
             events: Vec::new(),
         }
     }
 
-    /// This daemon.
+    /// Returns the description of this daemon.
     #[must_use]
     pub fn local(&self) -> &Member {
-        &self.me
+        &self.local
     }
 
-    /// Notes how far this daemon has applied the configuration.
+    /// Records the offset up to which this daemon has applied the configuration.
     pub fn set_config(&mut self, next: Offset) {
-        self.me.config = self.me.config.max(next);
+        self.local.config = self.local.config.max(next);
     }
 
-    /// Notes that this daemon is stopping.
+    /// Marks this daemon as stopping.
     pub fn set_leaving(&mut self) {
-        self.me.leaving = true;
+        self.local.leaving = true;
     }
 
-    /// Begins a round: the message to send.
+    /// Begins a round and returns the message to send.
     pub fn begin_round(&mut self) -> Heartbeat {
-        self.me.round += 1;
-        let introduce = self.me.round < NEW_BEATS || self.me.round % FULL_EVERY == 0;
+        self.local.round += 1;
+        let introduce =
+            self.local.round < INTRODUCTION_ROUNDS || self.local.round % FULL_INTERVAL_ROUNDS == 0;
         let full = if introduce {
-            vec![self.me.clone()]
+            vec![self.local.clone()]
         } else {
             Vec::new()
         };
         self.message(None, full)
     }
 
-    /// News go first, each a bounded number of times; the rest is filled in turn.
+    /// Composes a message. Updates go first, each a bounded number of times; the remaining
+    /// room rotates over the other daemons.
     fn message(&mut self, to: Option<&Instance>, full: Vec<Member>) -> Heartbeat {
-        let most = self.settings.gossip;
-        let mut chosen: Vec<Instance> = self.news.keys().take(most).cloned().collect();
+        let capacity = self.settings.gossip;
+        let mut chosen: Vec<Instance> = self.updates.keys().take(capacity).cloned().collect();
         for instance in &chosen {
-            if let Some(left) = self.news.get_mut(instance) {
+            if let Some(left) = self.updates.get_mut(instance) {
                 *left -= 1;
             }
         }
-        self.news.retain(|_, left| *left > 0);
-        let round = self.me.round.to_string();
-        let turn = |i: &Instance| stable_hash(&[i.as_str(), &round]);
+        self.updates.retain(|_, left| *left > 0);
+        let round = self.local.round.to_string();
+        let order = |i: &Instance| stable_hash(&[i.as_str(), &round]);
         let mut rest: Vec<&Instance> = self.known.keys().filter(|i| !chosen.contains(i)).collect();
-        rest.sort_by_cached_key(|i| turn(i));
-        let room = most - chosen.len();
+        rest.sort_by_cached_key(|i| order(i));
+        let room = capacity - chosen.len();
         chosen.extend(rest.into_iter().take(room).cloned());
-        if let Some(to) = to.filter(|t| self.doubts(t)) {
+        if let Some(to) = to.filter(|t| self.is_doubted(t)) {
             chosen.push(to.clone());
         }
-        let pulses = chosen.iter().filter_map(|i| self.known.get(i));
+        let statuses = chosen.iter().filter_map(|i| self.known.get(i));
         Heartbeat {
-            from: self.me.to_status(),
-            others: pulses.map(Known::to_status).collect(),
+            from: self.local.to_status(),
+            others: statuses.map(KnownMember::to_status).collect(),
             full,
-            ask: self.strangers.iter().take(MOST_ASKED).cloned().collect(),
+            ask: self.unknown.iter().take(MAX_ASKED).cloned().collect(),
         }
     }
 
-    /// Whether the instance should be told that it is believed gone.
-    fn doubts(&self, instance: &Instance) -> bool {
+    /// Returns whether the instance is suspected or gone, so that a message to it must say so.
+    fn is_doubted(&self, instance: &Instance) -> bool {
         let known = self.known.get(instance);
-        known.is_some_and(|k| k.belief != Belief::Alive)
+        known.is_some_and(|k| k.liveness != Liveness::Alive)
     }
 
-    /// Passes news of a daemon on, as often as it takes to reach all.
+    /// Schedules an update about a daemon, to be sent often enough to reach all daemons.
     fn spread(&mut self, instance: &Instance) {
         let size = self.known.len().max(1).ilog2();
-        self.news
-            .insert(instance.clone(), NEWS_BASE + NEWS_MORE * size);
+        self.updates.insert(
+            instance.clone(),
+            UPDATE_SENDS_BASE + UPDATE_SENDS_PER_DOUBLING * size,
+        );
     }
 
-    /// Whom this round's message goes to: some that are alive, in turn, and one of the
-    /// listed addresses that nobody alive answers at.
+    /// Returns the addresses that receive this round's message: a rotating choice of live
+    /// daemons, and one of the listed addresses that belongs to no live daemon.
     #[must_use]
     pub fn targets(&self, listed: &[String]) -> Vec<String> {
-        let mut alive: Vec<&Member> = self.alive().filter(|m| m.id != self.me.id).collect();
-        let round = self.me.round.to_string();
-        let turn = |m: &Member| stable_hash(&[&round, m.id.instance.as_str(), &self.me.peer]);
-        alive.sort_by_key(|m| turn(m));
+        let mut alive: Vec<&Member> = self.alive().filter(|m| m.id != self.local.id).collect();
+        let round = self.local.round.to_string();
+        let order = |m: &Member| stable_hash(&[&round, m.id.instance.as_str(), &self.local.peer]);
+        alive.sort_by_key(|m| order(m));
         let mut to: Vec<String> = alive
             .iter()
             .take(self.settings.fanout)
@@ -194,120 +198,123 @@
             .collect();
         let unknown: Vec<&String> = listed
             .iter()
-            .filter(|a| **a != self.me.peer && !alive.iter().any(|m| m.peer == **a))
+            .filter(|a| **a != self.local.peer && !alive.iter().any(|m| m.peer == **a))
             .collect();
         if !unknown.is_empty() {
-            let index = self.me.round as usize % unknown.len();
+            let index = self.local.round as usize % unknown.len();
             to.push(unknown[index].clone());
         }
         to
     }
 
-    /// Takes a message and returns the answer.
+    /// Applies a message and returns the response.
     pub fn on_heartbeat(&mut self, message: &Heartbeat, now: Millis) -> Heartbeat {
-        self.take(message, now);
-        let asked = message.ask.iter().filter_map(|i| self.in_full(i));
-        let full = asked.take(MOST_ASKED).collect();
+        self.apply(message, now);
+        let asked = message.ask.iter().filter_map(|i| self.describe(i));
+        let full = asked.take(MAX_ASKED).collect();
         let to = message.from.id.instance.clone();
         self.message(Some(&to), full)
     }
 
-    /// Takes the answer to a message.
-    pub fn on_response(&mut self, answer: &Heartbeat, now: Millis) {
-        self.take(answer, now);
+    /// Applies the response to a message.
+    pub fn on_response(&mut self, response: &Heartbeat, now: Millis) {
+        self.apply(response, now);
     }
 
-    fn in_full(&self, instance: &Instance) -> Option<Member> {
-        if *instance == self.me.id.instance {
-            return Some(self.me.clone());
+    fn describe(&self, instance: &Instance) -> Option<Member> {
+        if *instance == self.local.id.instance {
+            return Some(self.local.clone());
         }
         self.known.get(instance).map(|k| k.member.clone())
     }
 
-    fn take(&mut self, message: &Heartbeat, now: Millis) {
+    fn apply(&mut self, message: &Heartbeat, now: Millis) {
         for member in &message.full {
-            self.learn(member, now);
+            self.apply_member(member, now);
         }
-        self.hear(&message.from, now);
-        for pulse in &message.others {
-            self.hear(pulse, now);
+        self.apply_status(&message.from, now);
+        for status in &message.others {
+            self.apply_status(status, now);
         }
     }
 
-    /// A call to the daemon at this address failed.
+    /// Suspects the daemon at this address after a failed call.
     pub fn on_call_failure(&mut self, peer: &str, now: Millis) {
-        let failed = |k: &&mut Known| k.member.peer == peer && k.belief == Belief::Alive;
+        let failed = |k: &&mut KnownMember| k.member.peer == peer && k.liveness == Liveness::Alive;
         let Some(known) = self.known.values_mut().find(failed) else {
             return;
         };
-        known.belief = Belief::Suspect(now);
+        known.liveness = Liveness::Suspect(now);
         let instance = known.member.id.instance.clone();
         self.spread(&instance);
     }
 
-    /// Takes a pulse. Of one that is not known in full, more is asked for.
-    fn hear(&mut self, pulse: &MemberStatus, now: Millis) {
-        let instance = &pulse.id.instance;
-        if *instance == self.me.id.instance {
-            if pulse.suspect && pulse.id == self.me.id && pulse.refutations >= self.me.refutations {
-                self.me.refutations = pulse.refutations + 1;
+    /// Applies a daemon's status. If its full description is not known, it is requested.
+    fn apply_status(&mut self, status: &MemberStatus, now: Millis) {
+        let instance = &status.id.instance;
+        if *instance == self.local.id.instance {
+            if status.suspect
+                && status.id == self.local.id
+                && status.refutations >= self.local.refutations
+            {
+                self.local.refutations = status.refutations + 1;
             }
             return;
         }
         let known = self.known.get(instance);
-        match known.filter(|k| k.member.id == pulse.id) {
+        match known.filter(|k| k.member.id == status.id) {
             Some(known) => {
-                let news = Member {
-                    round: pulse.round,
-                    config: pulse.config,
-                    leaving: pulse.leaving,
-                    refutations: pulse.refutations,
+                let update = Member {
+                    round: status.round,
+                    config: status.config,
+                    leaving: status.leaving,
+                    refutations: status.refutations,
                     ..known.member.clone()
                 };
-                self.update(&news, pulse.suspect, now);
+                self.update(&update, status.suspect, now);
             }
-            None if known.is_none_or(|k| k.member.id.incarnation < pulse.id.incarnation)
-                && !pulse.leaving
-                && !pulse.suspect =>
+            None if known.is_none_or(|k| k.member.id.incarnation < status.id.incarnation)
+                && !status.leaving
+                && !status.suspect =>
             {
-                self.strangers.insert(instance.clone());
+                self.unknown.insert(instance.clone());
             }
             None => {}
         }
     }
 
-    /// Takes news of the same life of a known daemon.
-    fn update(&mut self, news: &Member, suspect: bool, now: Millis) {
-        let instance = news.id.instance.clone();
+    /// Applies an update about the same incarnation of a known daemon.
+    fn update(&mut self, update: &Member, suspect: bool, now: Millis) {
+        let instance = update.id.instance.clone();
         let Some(known) = self.known.get_mut(&instance) else {
             return;
         };
         let was_alive = known.is_alive();
-        let denied = news.refutations > known.member.refutations;
+        let refuted = update.refutations > known.member.refutations;
         let mut changed = false;
-        if denied && !suspect {
-            changed = known.belief != Belief::Alive;
-            known.belief = Belief::Alive;
+        if refuted && !suspect {
+            changed = known.liveness != Liveness::Alive;
+            known.liveness = Liveness::Alive;
         } else if suspect
-            && news.refutations >= known.member.refutations
-            && known.belief == Belief::Alive
+            && update.refutations >= known.member.refutations
+            && known.liveness == Liveness::Alive
         {
-            known.belief = Belief::Suspect(now);
+            known.liveness = Liveness::Suspect(now);
             changed = true;
         }
         let old = &mut known.member;
-        old.refutations = old.refutations.max(news.refutations);
-        old.config = old.config.max(news.config);
-        if news.leaving && !old.leaving {
+        old.refutations = old.refutations.max(update.refutations);
+        old.config = old.config.max(update.config);
+        if update.leaving && !old.leaving {
             old.leaving = true;
             changed = true;
         }
-        if news.round > old.round {
-            old.round = news.round;
-            known.heard = now;
+        if update.round > old.round {
+            old.round = update.round;
+            known.updated = now;
         }
         let is_alive = known.is_alive();
-        let id = news.id.clone();
+        let id = update.id.clone();
         match (was_alive, is_alive) {
             (false, true) => self.events.push(MemberEvent::Joined(id)),
             (true, false) => self.events.push(MemberEvent::Left(id)),
@@ -318,52 +325,52 @@
         }
     }
 
-    /// Takes a daemon in full: a new one, or a new life.
-    fn learn(&mut self, news: &Member, now: Millis) {
-        let instance = &news.id.instance;
-        if *instance == self.me.id.instance {
+    /// Applies a full description: of a new daemon, or of a new incarnation.
+    fn apply_member(&mut self, update: &Member, now: Millis) {
+        let instance = &update.id.instance;
+        if *instance == self.local.id.instance {
             return;
         }
         let known = self.known.get(instance);
-        if known.is_some_and(|k| k.member.id == news.id) {
-            return self.update(news, false, now);
+        if known.is_some_and(|k| k.member.id == update.id) {
+            return self.update(update, false, now);
         }
-        if known.is_some_and(|k| k.member.id.incarnation > news.id.incarnation) {
+        if known.is_some_and(|k| k.member.id.incarnation > update.id.incarnation) {
             return;
         }
         if let Some(old) = known.filter(|k| k.is_alive()) {
             self.events.push(MemberEvent::Left(old.member.id.clone()));
         }
-        if !news.leaving {
-            self.events.push(MemberEvent::Joined(news.id.clone()));
+        if !update.leaving {
+            self.events.push(MemberEvent::Joined(update.id.clone()));
         }
-        self.strangers.remove(instance);
-        let entry = Known {
-            member: news.clone(),
-            heard: now,
-            belief: Belief::Alive,
+        self.unknown.remove(instance);
+        let entry = KnownMember {
+            member: update.clone(),
+            updated: now,
+            liveness: Liveness::Alive,
         };
         self.known.insert(instance.clone(), entry);
-        self.spread(&news.id.instance);
+        self.spread(&update.id.instance);
     }
 
-    /// Time passed: whoever was suspected for too long, or not heard of for very long,
-    /// counts as gone.
+    /// Marks daemons as gone whose suspicion was not refuted in time, or without any update for
+    /// the silence timeout.
     pub fn tick(&mut self, now: Millis) {
         let settings = self.settings;
         let mut gone = Vec::new();
         for known in self.known.values_mut() {
-            let silent = now.since(known.heard) > settings.silence_timeout.0;
-            let over = match known.belief {
-                Belief::Suspect(since) => now.since(since) >= settings.suspicion_timeout.0,
-                Belief::Alive => silent,
-                Belief::Gone => false,
+            let silent = now.since(known.updated) > settings.silence_timeout.0;
+            let expired = match known.liveness {
+                Liveness::Suspect(since) => now.since(since) >= settings.suspicion_timeout.0,
+                Liveness::Alive => silent,
+                Liveness::Gone => false,
             };
-            if over {
+            if expired {
                 if known.is_alive() {
                     self.events.push(MemberEvent::Left(known.member.id.clone()));
                 }
-                known.belief = Belief::Gone;
+                known.liveness = Liveness::Gone;
                 gone.push(known.member.id.instance.clone());
             }
         }
@@ -371,41 +378,41 @@
             self.spread(instance);
         }
         self.known
-            .retain(|_, k| k.is_alive() || now.since(k.heard) <= 2 * settings.silence_timeout.0);
-        if self.strangers.len() > MOST_STRANGERS {
-            self.strangers.clear();
+            .retain(|_, k| k.is_alive() || now.since(k.updated) <= 2 * settings.silence_timeout.0);
+        if self.unknown.len() > MAX_UNKNOWN {
+            self.unknown.clear();
         }
     }
 
-    /// The changes since the last call.
+    /// Returns the changes since the last call.
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// All that are alive and not leaving; this daemon among them unless it is leaving.
+    /// Returns all daemons that are alive and not leaving, including this one.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
-        let me = (!self.me.leaving).then_some(&self.me);
+        let local = (!self.local.leaving).then_some(&self.local);
         let others = self
             .known
             .values()
             .filter(|k| k.is_alive())
             .map(|k| &k.member);
-        me.into_iter().chain(others)
+        local.into_iter().chain(others)
     }
 
-    /// Whether the process that writes under this identity is alive.
+    /// Returns whether the process with this writer identity is alive.
     #[must_use]
     pub fn is_alive(&self, writer: WriterId) -> bool {
-        writer == self.me.writer || self.alive().any(|m| m.writer == writer)
+        writer == self.local.writer || self.alive().any(|m| m.writer == writer)
     }
 
-    /// Those that are alive and have not applied the configuration up to `offset`.
+    /// Returns the live daemons that have not applied the configuration up to `offset`.
     #[must_use]
     pub fn behind(&self, offset: Offset) -> Vec<&Member> {
         self.alive().filter(|m| m.config <= offset).collect()
     }
 
-    /// The furthest that any daemon has applied the configuration.
+    /// Returns the highest configuration offset that any live daemon reports.
     #[must_use]
     pub fn latest_config(&self) -> Offset {
         let all = self.alive().map(|m| m.config);
