--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,12 +1,12 @@
 //! The administration API.
 
 use crate::answer::error_response;
-use crate::auth::{self, Who};
-use crate::caller::{healthz, readyz, Local};
+use crate::auth::{self, Operator};
+use crate::caller::{healthz, readyz, WorkerState};
 use crate::core::Core;
 use crate::dump;
 use crate::emit::emit;
-use crate::member_actor::{beat, Peers};
+use crate::member_actor::{send_heartbeat, Peers};
 use actix_web::web::{Data, Json, ServiceConfig};
 use actix_web::{web, HttpRequest, HttpResponse};
 use serde::Deserialize;
@@ -19,12 +19,12 @@
 use std::time::Duration;
 
 /// How long an operator's call waits for the log.
-const LOG_WAIT: Duration = Duration::from_secs(10);
-const MOST_WAIT: u64 = 60_000;
-const POLL: Duration = Duration::from_millis(10);
+const LOG_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_WAIT_MS: u64 = 60_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Daemons that are asked at once whether a change is in force.
-const ASKED_AT_ONCE: usize = 32;
+/// The number of daemons that are concurrently asked whether a change is in force.
+const MAX_CONCURRENT_CALLS: usize = 32;
 
 pub(crate) fn routes(config: &mut ServiceConfig) {
     config
@@ -38,7 +38,7 @@
         .route("/metrics", web::get().to(metrics));
 }
 
-/// A change as an operator asks for it; who asks follows from the token.
+/// A change as requested by an operator. The operator is identified by the token.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChangeRequest {
@@ -52,42 +52,43 @@
     wait_ms: u64,
 }
 
-async fn metrics(local: Data<Local>) -> HttpResponse {
+async fn metrics(local: Data<WorkerState>) -> HttpResponse {
     let text = local.core.metrics.to_text();
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
         .body(text)
 }
 
-fn reader(local: &Local, request: &HttpRequest) -> Result<Who> {
+fn reader(local: &WorkerState, request: &HttpRequest) -> Result<Operator> {
     let who = auth::operator(&local.core, request)?;
     who.check_read()?;
     Ok(who)
 }
 
-async fn state(local: Data<Local>, request: HttpRequest) -> HttpResponse {
+async fn state(local: Data<WorkerState>, request: HttpRequest) -> HttpResponse {
     match reader(&local, &request) {
         Ok(_) => HttpResponse::Ok().json(dump::state(&local.core)),
         Err(e) => error_response(&e, local.core.new_request()),
     }
 }
 
-async fn members(local: Data<Local>, request: HttpRequest) -> HttpResponse {
+async fn members(local: Data<WorkerState>, request: HttpRequest) -> HttpResponse {
     match reader(&local, &request) {
         Ok(_) => HttpResponse::Ok().json(dump::members(&local.core)),
         Err(e) => error_response(&e, local.core.new_request()),
     }
 }
 
-async fn upstreams(local: Data<Local>, request: HttpRequest) -> HttpResponse {
+async fn upstreams(local: Data<WorkerState>, request: HttpRequest) -> HttpResponse {
     match reader(&local, &request) {
         Ok(_) => HttpResponse::Ok().json(dump::upstreams(&local.core)),
         Err(e) => error_response(&e, local.core.new_request()),
     }
 }
 
-/// The configuration in force here. Whoever may read one organisation sees only that.
-async fn config_page(local: Data<Local>, request: HttpRequest) -> HttpResponse {
+/// Returns the configuration in force on this daemon. An operator with access to one
+/// organisation gets only that organisation's part.
+async fn config_page(local: Data<WorkerState>, request: HttpRequest) -> HttpResponse {
     match auth::operator(&local.core, &request) {
         Ok(who) => HttpResponse::Ok().json(dump::config(&local.core, &who.role)),
         Err(e) => error_response(&e, local.core.new_request()),
@@ -95,7 +96,7 @@
 }
 
 async fn change(
-    local: Data<Local>,
+    local: Data<WorkerState>,
     request: HttpRequest,
     body: std::result::Result<Json<ChangeRequest>, actix_web::Error>,
 ) -> HttpResponse {
@@ -152,18 +153,18 @@
     }
 }
 
-/// Appends a change and waits for the replay's verdict. A call that gives up waiting is
-/// answered with the advice to repeat it under the same id, which is harmless.
+/// Appends a change and waits for the replay's verdict. After a timeout, the response asks the
+/// operator to repeat the change under the same id, which is idempotent.
 async fn submit(core: &Arc<Core>, change: Change) -> Result<Verdict> {
-    let judged = core.config.with(|c| c.verdict_of(&change.id).cloned());
-    if let Some(verdict) = judged {
+    let known = core.config.with(|c| c.verdict_of(&change.id).cloned());
+    if let Some(verdict) = known {
         return Ok(verdict);
     }
-    if core.is_log_away() {
+    if core.is_log_unavailable() {
         return Err(ErrorKind::LogUnavailable.into());
     }
     let pending = core.config.submit(Priority::Config, change);
-    match tokio::time::timeout(LOG_WAIT, pending.done).await {
+    match tokio::time::timeout(LOG_TIMEOUT, pending.done).await {
         Ok(Ok(done)) => Ok(done.verdict),
         Ok(Err(_)) | Err(_) => {
             if core.config.withdraw(Priority::Config, pending.ticket) {
@@ -177,10 +178,10 @@
     }
 }
 
-/// Waits until all live daemons have applied `offset`; returns those that have not. Those
-/// that have not said so are asked directly: their heartbeats would take many rounds.
+/// Waits until all live daemons have applied `offset` and returns those that have not. Daemons
+/// that have not confirmed it are called directly, because gossip would take many rounds.
 async fn wait_in_force(core: &Arc<Core>, offset: Offset, wait_ms: u64) -> Vec<String> {
-    let until = core.now().plus(wait_ms.min(MOST_WAIT));
+    let until = core.now().plus(wait_ms.min(MAX_WAIT_MS));
     let mut peers = Peers::default();
     loop {
         core.refresh_view();
@@ -189,11 +190,11 @@
             return behind.iter().map(|m| m.id.instance.to_string()).collect();
         }
         let message = core.members().begin_round();
-        let asked = behind.iter().take(ASKED_AT_ONCE);
+        let asked = behind.iter().take(MAX_CONCURRENT_CALLS);
         let asked = asked.filter_map(|m| Some((&m.peer, peers.client(&m.peer)?)));
-        let calls = asked.map(|(to, client)| beat(core, to, client, message.clone()));
+        let calls = asked.map(|(to, client)| send_heartbeat(core, to, client, message.clone()));
         futures_util::future::join_all(calls).await;
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/answer.rs
@@ -1,20 +1,20 @@
-//! From errors to HTTP answers.
+//! Converts errors to HTTP responses.
 
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, HttpResponseBuilder};
 use serde_json::{json, Value};
 use shaleline_types::{Error, Outcome, RequestId};
 
-/// Says whether the request ran.
+/// The header that reports whether the request ran.
 pub(crate) const OUTCOME: &str = "x-shaleline-outcome";
 
-/// The request's id, for support.
+/// The header with the request's id, for support.
 pub(crate) const REQUEST: &str = "x-shaleline-request";
 
-/// When to come back, in milliseconds, beside the standard header in seconds.
+/// The header with the retry-after time in milliseconds; the standard header has seconds.
 const RETRY_MS: &str = "retry-after-ms";
 
-/// The body that tells of an error.
+/// Returns the response body for an error.
 pub(crate) fn error_body(error: &Error, id: RequestId) -> Value {
     let answer = error.kind().answer();
     json!({"error": {
@@ -27,7 +27,7 @@
     }})
 }
 
-/// The whole answer for an error.
+/// Returns the response for an error.
 pub(crate) fn error_response(error: &Error, id: RequestId) -> HttpResponse {
     let answer = error.kind().answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -40,7 +40,7 @@
     response.json(error_body(error, id))
 }
 
-/// Adds the headers that every answer bears.
+/// Adds the headers of every response.
 pub(crate) fn mark(response: &mut HttpResponseBuilder, outcome: Outcome, id: RequestId) {
     response.insert_header((OUTCOME, outcome.as_str()));
     response.insert_header((REQUEST, id.to_string()));
--- a/crates/daemon/src/auth.rs
+++ b/crates/daemon/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls.
+//! Authentication of callers and operators.
 
 use crate::core::Core;
 use actix_web::HttpRequest;
@@ -6,7 +6,7 @@
 use shaleline_types::{Error, ErrorKind, Result, TokenHash};
 use std::sync::Arc;
 
-/// The name under which the token of the settings stands in the record of changes.
+/// The operator name recorded for changes made with the token of the settings.
 const BOOTSTRAP: &str = "bootstrap";
 
 fn bearer(request: &HttpRequest) -> Result<TokenHash> {
@@ -19,7 +19,7 @@
     }
 }
 
-/// The organisation whose token the request bears.
+/// Returns the organisation that the request's token belongs to.
 pub(crate) fn caller(core: &Core, request: &HttpRequest) -> Result<Arc<Tenant>> {
     let token = bearer(request)?;
     let view = core.view();
@@ -27,33 +27,33 @@
     tenant.ok_or_else(|| ErrorKind::Unauthenticated.into())
 }
 
-/// An operator as the administration API knows one.
-pub(crate) struct Who {
+/// An authenticated operator.
+pub(crate) struct Operator {
     pub(crate) name: String,
     pub(crate) role: Role,
 }
 
-/// The operator whose token the request bears.
-pub(crate) fn operator(core: &Core, request: &HttpRequest) -> Result<Who> {
+/// Returns the operator that the request's token belongs to.
+pub(crate) fn operator(core: &Core, request: &HttpRequest) -> Result<Operator> {
     let token = bearer(request)?;
     let bootstrap = core.settings.admin_hash.as_ref();
     if bootstrap.is_some_and(|h| h.matches(&token)) {
-        return Ok(Who {
+        return Ok(Operator {
             name: BOOTSTRAP.to_owned(),
             role: Role::All,
         });
     }
     let view = core.view();
     let operator = view.operator(&token);
-    let who = operator.map(|o| Who {
+    let who = operator.map(|o| Operator {
         name: o.name.clone(),
         role: o.role.clone(),
     });
     who.ok_or_else(|| ErrorKind::Unauthenticated.into())
 }
 
-impl Who {
-    /// Refuses whoever may not read the whole.
+impl Operator {
+    /// Returns an error if the role may not read all of the configuration.
     pub(crate) fn check_read(&self) -> Result<()> {
         if self.role.may_read_all() {
             return Ok(());
--- a/crates/daemon/src/bin/shalelined.rs
+++ b/crates/daemon/src/bin/shalelined.rs
@@ -1,7 +1,7 @@
-//! The shaleline daemon as a process.
+//! The executable of the shaleline daemon.
 //!
-//! Where the platform names a settings file, the daemon serves there through its adapter;
-//! otherwise its settings are flags and environment variables.
+//! If the platform names a settings file, the daemon runs with the platform's adapter.
+//! Otherwise its settings come from flags and environment variables.
 
 use actix_rt::signal::unix::{signal, SignalKind};
 use eyre::{Result, WrapErr};
@@ -12,11 +12,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How often the settings file is looked at; it may change without a signal.
-const SETTINGS_EVERY: Duration = Duration::from_secs(2);
+/// The interval at which the settings file is read; it may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How much is logged on the platform.
-const PLATFORM_LEVEL: &str = "info";
+/// The log level on the platform.
+const PLATFORM_LOG_LEVEL: &str = "info";
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -25,15 +25,15 @@
         return ExitCode::SUCCESS;
     }
     if let (true, Ok(path)) = (args.is_empty(), std::env::var(NODE_FILE)) {
-        return to_code(read_node(&path), |node| run_on_platform(node, &path));
+        return exit_code(read_node(&path), |node| run_on_platform(node, &path));
     }
     let variables: BTreeMap<String, String> = std::env::vars().collect();
     let settings = Settings::from_args(&args, &variables);
-    to_code(settings.map_err(eyre::Report::from), run)
+    exit_code(settings.map_err(eyre::Report::from), run)
 }
 
-/// Exits with 2 where the settings are wrong and with 1 where the daemon fails.
-fn to_code<T>(settings: Result<T>, run: impl FnOnce(T) -> Result<()>) -> ExitCode {
+/// Returns exit code 2 if the settings are invalid and 1 if the daemon fails.
+fn exit_code<T>(settings: Result<T>, run: impl FnOnce(T) -> Result<()>) -> ExitCode {
     let settings = match settings {
         Ok(settings) => settings,
         Err(e) => {
@@ -56,7 +56,7 @@
 }
 
 fn run_on_platform(node: NodeFile, path: &str) -> Result<()> {
-    start_journal(PLATFORM_LEVEL)?;
+    start_journal(PLATFORM_LOG_LEVEL)?;
     actix_rt::System::new().block_on(async {
         let store = PlatformStore::new(StoreSettings {
             address: node.store,
@@ -88,14 +88,14 @@
     Ok(())
 }
 
-/// Takes changes of the settings file over, told by a signal or not.
+/// Applies changes of the settings file, on a hangup signal and periodically.
 async fn follow_settings(running: &Running, path: &str, mut node: NodeFile) -> Result<()> {
-    let mut hangup = signal(SignalKind::hangup()).wrap_err("signals")?;
+    let mut hangup = signal(SignalKind::hangup()).wrap_err("cannot install a signal handler")?;
     let mut refused = String::new();
     loop {
         tokio::select! {
             _ = hangup.recv() => {}
-            () = tokio::time::sleep(SETTINGS_EVERY) => {}
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
         match read_node(path) {
             Ok(next) if next != node => {
@@ -114,10 +114,12 @@
     }
 }
 
-/// Waits for the signals that ask for a planned stop.
+/// Waits for a signal that requests a planned stop.
 async fn wait_for_signal() -> Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("signals")?;
-    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("signals")?;
+    let mut terminate =
+        signal(SignalKind::terminate()).wrap_err("cannot install a signal handler")?;
+    let mut interrupt =
+        signal(SignalKind::interrupt()).wrap_err("cannot install a signal handler")?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::{error_response, mark};
 use crate::auth;
-use crate::caller::{read_body, Local};
+use crate::caller::{read_body, WorkerState};
 use crate::core::{Core, InFlight};
 use crate::drive::{limits, superseded};
 use crate::keyed;
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// The longest key that a caller may use.
-const MOST_KEY: usize = 256;
+/// The maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
 #[derive(Deserialize)]
 pub(crate) struct ServicePath {
@@ -27,9 +27,9 @@
     tail: String,
 }
 
-/// Answers `/v1/services/NAME/...`.
+/// Handles `/v1/services/NAME/...`.
 pub(crate) async fn service(
-    local: Data<Local>,
+    local: Data<WorkerState>,
     request: HttpRequest,
     path: Path<ServicePath>,
     payload: Payload,
@@ -46,7 +46,7 @@
 }
 
 async fn try_service(
-    local: &Local,
+    local: &WorkerState,
     request: &HttpRequest,
     path: &ServicePath,
     payload: Payload,
@@ -80,9 +80,9 @@
         id,
     };
     match &job.call.key {
-        Some(key) if key.is_empty() || key.len() > MOST_KEY => Err(Error::new(
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Error::new(
             ErrorKind::BadRequest,
-            format!("an idempotency key has 1 to {MOST_KEY} characters"),
+            format!("an idempotency key has 1 to {MAX_KEY_BYTES} characters"),
         )),
         Some(_) => keyed::run(local, request, &job).await,
         None => run(local, &job).await,
@@ -101,7 +101,7 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// A checked call.
+/// A validated call.
 pub(crate) struct Job {
     pub(crate) tenant: Arc<Tenant>,
     pub(crate) service: Service,
@@ -110,8 +110,8 @@
     pub(crate) id: RequestId,
 }
 
-/// Makes a call without a key. It is repeated only where the service allows that.
-async fn run(local: &Local, job: &Job) -> Result<HttpResponse> {
+/// Makes a call without a key. It is retried only if the service allows that.
+async fn run(local: &WorkerState, job: &Job) -> Result<HttpResponse> {
     let mut permit = Permit::ask(&local.core, job);
     loop {
         let (attempt, upstream) = permit.granted().await?;
@@ -151,7 +151,7 @@
     services.call(&address, &job.call).await
 }
 
-/// The answer of a service as the caller gets it.
+/// Converts a service's response to the response for the caller.
 fn answer_response(answer: &ServiceResponse, id: RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
@@ -161,7 +161,7 @@
         .body(answer.body.clone())
 }
 
-/// A request's place in the router, given back when dropped.
+/// A request's registration at the router, released when dropped.
 pub(crate) struct Permit {
     core: Arc<Core>,
     id: RequestId,
--- a/crates/daemon/src/caller.rs
+++ b/crates/daemon/src/caller.rs
@@ -5,7 +5,7 @@
 use crate::call;
 use crate::completion::{Completion, Style};
 use crate::core::Core;
-use crate::drive::{Drive, Out};
+use crate::drive::{CompletionEvent, GenerationTask};
 use actix_web::web::{Bytes, Data, Payload, ServiceConfig};
 use actix_web::{web, HttpRequest, HttpResponse};
 use futures_util::{stream, StreamExt};
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// What each serving thread has of its own.
-pub(crate) struct Local {
+/// The state of each serving thread.
+pub(crate) struct WorkerState {
     pub(crate) core: Arc<Core>,
     pub(crate) engines: Rc<dyn Engines>,
     pub(crate) services: Rc<dyn Services>,
@@ -35,20 +35,20 @@
         .route("/readyz", web::get().to(readyz));
 }
 
-/// The process lives.
+/// Reports that the process is alive.
 pub(crate) async fn healthz() -> HttpResponse {
     HttpResponse::Ok().body("alive\n")
 }
 
-/// The balancer should send work here.
-pub(crate) async fn readyz(local: Data<Local>) -> HttpResponse {
+/// Reports whether the balancer should send requests to this daemon.
+pub(crate) async fn readyz(local: Data<WorkerState>) -> HttpResponse {
     if local.core.is_ready() {
         return HttpResponse::Ok().body("ready\n");
     }
     HttpResponse::ServiceUnavailable().body("not ready\n")
 }
 
-/// Reads a body up to the limit of the settings.
+/// Reads a request body up to the limit in the settings.
 pub(crate) async fn read_body(core: &Core, mut payload: Payload) -> Result<Vec<u8>> {
     let limit = core.settings.body_limit;
     let mut body = Vec::new();
@@ -63,7 +63,7 @@
     Ok(body)
 }
 
-async fn models(local: Data<Local>, request: HttpRequest) -> HttpResponse {
+async fn models(local: Data<WorkerState>, request: HttpRequest) -> HttpResponse {
     let id = local.core.new_request();
     let tenant = match auth::caller(&local.core, &request) {
         Ok(tenant) => tenant,
@@ -75,16 +75,16 @@
     HttpResponse::Ok().json(json!({"object": "list", "data": list}))
 }
 
-async fn chat(local: Data<Local>, request: HttpRequest, payload: Payload) -> HttpResponse {
+async fn chat(local: Data<WorkerState>, request: HttpRequest, payload: Payload) -> HttpResponse {
     complete(&local, &request, payload, Style::Chat).await
 }
 
-async fn text(local: Data<Local>, request: HttpRequest, payload: Payload) -> HttpResponse {
+async fn text(local: Data<WorkerState>, request: HttpRequest, payload: Payload) -> HttpResponse {
     complete(&local, &request, payload, Style::Text).await
 }
 
 async fn complete(
-    local: &Local,
+    local: &WorkerState,
     request: &HttpRequest,
     payload: Payload,
     style: Style,
@@ -97,7 +97,7 @@
 }
 
 async fn try_complete(
-    local: &Local,
+    local: &WorkerState,
     request: &HttpRequest,
     payload: Payload,
     style: Style,
@@ -107,11 +107,12 @@
     let tenant = auth::caller(&local.core, request)?;
     let body = read_body(&local.core, payload).await?;
     let completion = Completion::from_body(&local.core, &tenant, style, &body)?;
-    let outs = Drive::start(&local.core, &local.engines, &tenant, completion.clone(), id);
+    let events =
+        GenerationTask::start(&local.core, &local.engines, &tenant, completion.clone(), id);
     if completion.stream {
-        stream_out(completion, id, outs).await
+        stream_out(completion, id, events).await
     } else {
-        collect(&completion, id, outs).await
+        collect(&completion, id, events).await
     }
 }
 
@@ -122,30 +123,30 @@
 async fn collect(
     completion: &Completion,
     id: RequestId,
-    mut outs: mpsc::UnboundedReceiver<Out>,
+    mut events: mpsc::UnboundedReceiver<CompletionEvent>,
 ) -> Result<HttpResponse> {
     let mut text = String::new();
     loop {
-        match outs.recv().await.ok_or_else(lost)? {
-            Out::Token(token) => text.push_str(&token),
-            Out::End { total } => {
+        match events.recv().await.ok_or_else(lost)? {
+            CompletionEvent::Token(token) => text.push_str(&token),
+            CompletionEvent::End { total } => {
                 let mut response = HttpResponse::Ok();
                 mark(&mut response, Outcome::Run, id);
-                return Ok(response.json(completion.whole(id, &text, total)));
+                return Ok(response.json(completion.complete_response(id, &text, total)));
             }
-            Out::Fail(error) => return Err(error),
+            CompletionEvent::Fail(error) => return Err(error),
         }
     }
 }
 
-/// Answers with the first token, so that a refusal still has its own status.
+/// Starts the response once the first token arrives, so that a refusal still gets its own status.
 async fn stream_out(
     completion: Completion,
     id: RequestId,
-    mut outs: mpsc::UnboundedReceiver<Out>,
+    mut events: mpsc::UnboundedReceiver<CompletionEvent>,
 ) -> Result<HttpResponse> {
-    let first = match outs.recv().await.ok_or_else(lost)? {
-        Out::Fail(error) => return Err(error),
+    let first = match events.recv().await.ok_or_else(lost)? {
+        CompletionEvent::Fail(error) => return Err(error),
         out => out,
     };
     let mut response = HttpResponse::Ok();
@@ -154,7 +155,7 @@
     let writer = EventWriter {
         completion,
         id,
-        outs,
+        events,
         next: Some(first),
         ended: false,
     };
@@ -164,31 +165,35 @@
 struct EventWriter {
     completion: Completion,
     id: RequestId,
-    outs: mpsc::UnboundedReceiver<Out>,
-    next: Option<Out>,
+    events: mpsc::UnboundedReceiver<CompletionEvent>,
+    next: Option<CompletionEvent>,
     ended: bool,
 }
 
 type Emitted = std::result::Result<Bytes, actix_web::Error>;
 
 impl EventWriter {
-    /// The next bytes of the stream; `[DONE]` only where the answer is whole.
+    /// Returns the next bytes of the stream. `[DONE]` is sent only if the response is complete.
     async fn next_bytes(mut self) -> Option<(Emitted, Self)> {
         if self.ended {
             return None;
         }
         let out = match self.next.take() {
             Some(out) => out,
-            None => self.outs.recv().await.unwrap_or_else(|| Out::Fail(lost())),
+            None => self
+                .events
+                .recv()
+                .await
+                .unwrap_or_else(|| CompletionEvent::Fail(lost())),
         };
         let bytes = match out {
-            Out::Token(text) => event(&self.completion.chunk(self.id, &text)),
-            Out::End { total } => {
+            CompletionEvent::Token(text) => event(&self.completion.chunk(self.id, &text)),
+            CompletionEvent::End { total } => {
                 self.ended = true;
                 let last = event(&self.completion.last_chunk(self.id, total));
                 format!("{last}data: [DONE]\n\n")
             }
-            Out::Fail(error) => {
+            CompletionEvent::Fail(error) => {
                 self.ended = true;
                 event(&error_body(&error, self.id))
             }
--- a/crates/daemon/src/completion.rs
+++ b/crates/daemon/src/completion.rs
@@ -1,4 +1,4 @@
-//! Completions as OpenAI-style clients ask for them and expect them.
+//! Requests and responses of the OpenAI-compatible completion interfaces.
 
 use crate::core::Core;
 use serde::Deserialize;
@@ -8,7 +8,7 @@
 use shaleline_types::{Error, ErrorKind, RequestId, Result};
 
 const DEFAULT_TOKENS: u32 = 16;
-const MOST_MESSAGES: usize = 1_024;
+const MAX_MESSAGES: usize = 1_024;
 
 /// A message of a chat.
 #[derive(Debug, Deserialize)]
@@ -17,8 +17,8 @@
     content: String,
 }
 
-/// The body of both kinds of request; fields that this system does not know are ignored,
-/// as clients of this interface expect.
+/// The body of both kinds of request. Unknown fields are ignored, as clients of this interface
+/// expect.
 #[derive(Debug, Deserialize)]
 struct Body {
     model: String,
@@ -32,14 +32,14 @@
     max_completion_tokens: Option<u32>,
 }
 
-/// Which of the two interfaces is spoken.
+/// The interface that the caller uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Style {
     Chat,
     Text,
 }
 
-/// A checked request.
+/// A validated request.
 #[derive(Debug, Clone)]
 pub(crate) struct Completion {
     pub(crate) style: Style,
@@ -51,7 +51,7 @@
 }
 
 impl Completion {
-    /// Checks a body. A model of another organisation is answered like an unknown one.
+    /// Validates a body. A model of another organisation is handled as an unknown one.
     pub(crate) fn from_body(
         core: &Core,
         tenant: &Tenant,
@@ -60,16 +60,16 @@
     ) -> Result<Self> {
         let bad = |text: String| Error::new(ErrorKind::BadRequest, text);
         let body: Body = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
-        let asked = body.max_tokens.or(body.max_completion_tokens);
-        let tokens = asked.unwrap_or(DEFAULT_TOKENS);
-        let most = core.settings.token_limit;
-        if tokens == 0 || tokens > most {
-            return Err(bad(format!("max_tokens is {tokens}, outside 1 to {most}")));
+        let requested = body.max_tokens.or(body.max_completion_tokens);
+        let tokens = requested.unwrap_or(DEFAULT_TOKENS);
+        let limit = core.settings.token_limit;
+        if tokens == 0 || tokens > limit {
+            return Err(bad(format!("max_tokens is {tokens}, outside 1 to {limit}")));
         }
         let prompt = match style {
             Style::Chat if body.messages.is_empty() => return Err(bad("no messages".to_owned())),
-            Style::Chat if body.messages.len() > MOST_MESSAGES => {
-                return Err(bad(format!("more than {MOST_MESSAGES} messages")))
+            Style::Chat if body.messages.len() > MAX_MESSAGES => {
+                return Err(bad(format!("more than {MAX_MESSAGES} messages")))
             }
             Style::Chat => flatten(&body.messages),
             Style::Text if body.prompt.is_empty() => return Err(bad("no prompt".to_owned())),
@@ -91,7 +91,7 @@
         })
     }
 
-    /// One streamed event with a token.
+    /// Returns the streamed event for a token.
     pub(crate) fn chunk(&self, id: RequestId, text: &str) -> Value {
         let choice = match self.style {
             Style::Chat => json!({"index": 0, "delta": {"content": text}, "finish_reason": null}),
@@ -100,7 +100,7 @@
         self.envelope(id, self.chunk_object(), &choice)
     }
 
-    /// The last streamed event, which says that the answer is whole.
+    /// Returns the last streamed event, which marks the response as complete.
     pub(crate) fn last_chunk(&self, id: RequestId, total: u32) -> Value {
         let reason = self.reason(total);
         let choice = match self.style {
@@ -113,8 +113,8 @@
         event
     }
 
-    /// A whole answer.
-    pub(crate) fn whole(&self, id: RequestId, text: &str, total: u32) -> Value {
+    /// Returns a complete response.
+    pub(crate) fn complete_response(&self, id: RequestId, text: &str, total: u32) -> Value {
         let reason = self.reason(total);
         let (object, choice) = match self.style {
             Style::Chat => (
@@ -165,13 +165,13 @@
         })
     }
 
-    /// The work that the request asks for, in tokens.
+    /// Returns the estimated work of the request, in tokens.
     pub(crate) fn cost(&self) -> u64 {
         prompt_tokens(&self.prompt) / 8 + u64::from(self.tokens)
     }
 }
 
-/// A prompt's tokens at the usual four characters each; engines count their own.
+/// Estimates a prompt's tokens at the usual four bytes each; engines count exactly.
 fn prompt_tokens(prompt: &str) -> u64 {
     (prompt.len() as u64).div_ceil(4)
 }
@@ -181,7 +181,7 @@
     messages.iter().map(line).collect()
 }
 
-/// The item for a name that the organisation may use: a model or an adapter.
+/// Returns the item for a model or adapter name that the organisation may use.
 fn resolve(core: &Core, tenant: &Tenant, name: &str) -> Option<Item> {
     let view = core.view();
     if tenant.models.contains(name) {
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of a daemon share.
+//! The shared state of a daemon.
 
 use crate::clock::Clock;
 use crate::directory::Directory;
@@ -21,13 +21,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 use tokio::sync::mpsc;
 
-/// How long the log must be silent before it counts as away.
-const LOG_AWAY: u64 = 500;
+/// How long calls to the log must fail before it is considered unavailable.
+const LOG_UNAVAILABLE_MS: u64 = 500;
 
-/// How long another daemon's report of demand counts.
-const DEMAND_AGE: u64 = 15_000;
+/// How long another daemon's demand report is valid.
+const DEMAND_MAX_AGE_MS: u64 = 15_000;
 
-/// What another daemon's callers ask for, and when it said so.
+/// The demand of another daemon's callers, and when it was reported.
 struct RemoteDemand {
     at: Millis,
     rates: BTreeMap<Model, f64>,
@@ -35,7 +35,7 @@
 
 type ActionSender = mpsc::UnboundedSender<RouteAction>;
 
-/// What a daemon's threads share.
+/// The state that a daemon's threads share.
 pub struct Core {
     pub(crate) settings: Settings,
     pub(crate) writer: WriterId,
@@ -65,7 +65,7 @@
         let mut rng = rand::rng();
         let writer = WriterId(rng.random());
         let clock = Clock::new();
-        let me = Member {
+        let local = Member {
             id: MemberId {
                 instance: settings.instance.clone(),
                 incarnation: Clock::wall().0,
@@ -101,7 +101,7 @@
             directory: RwLock::new(Directory::default()),
             router: Mutex::new(router),
             requests: Mutex::new(HashMap::new()),
-            members: Mutex::new(Membership::new(MemberSettings::default(), me)),
+            members: Mutex::new(Membership::new(MemberSettings::default(), local)),
             view: RwLock::new(Arc::new(View::default())),
             remote_demand: Mutex::new(BTreeMap::new()),
             budget,
@@ -135,7 +135,7 @@
         Arc::clone(&self.view.read().expect("no holder panics"))
     }
 
-    /// Resolves the configuration anew if it has moved on.
+    /// Rebuilds the configuration view if the configuration has changed.
     pub(crate) fn refresh_view(&self) {
         let next = self.config.next();
         if self.view().next == next {
@@ -144,43 +144,43 @@
         let view = self
             .config
             .with_state(|s| View::from_machine(s.machine(), s.next()));
-        let mut kept = self.view.write().expect("no holder panics");
+        let mut current = self.view.write().expect("no holder panics");
         assert!(
-            kept.next <= view.next,
+            current.next <= view.next,
             "an accepted configuration never reverts"
         );
         self.members().set_config(view.next);
-        *kept = Arc::new(view);
+        *current = Arc::new(view);
     }
 
     pub(crate) fn new_request(&self) -> RequestId {
         RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Registers a request and returns where its actions arrive.
+    /// Registers a request and returns the receiver of its actions.
     pub(crate) fn register(&self, id: RequestId) -> mpsc::UnboundedReceiver<RouteAction> {
-        let (tell, told) = mpsc::unbounded_channel();
+        let (sender, receiver) = mpsc::unbounded_channel();
         self.requests
             .lock()
             .expect("no holder panics")
-            .insert(id, tell);
-        told
+            .insert(id, sender);
+        receiver
     }
 
     pub(crate) fn unregister(&self, id: RequestId) {
         self.requests.lock().expect("no holder panics").remove(&id);
     }
 
-    /// Gives the router an event and hands its actions to the requests they are about.
+    /// Passes an event to the router and dispatches the resulting actions to their requests.
     pub(crate) fn route(&self, event: RouteEvent) {
         let now = self.now();
         let mut router = self.router();
         let actions = guarded("router", || router.step(event, now));
         drop(router);
-        self.hand_out(actions.unwrap_or_default());
+        self.dispatch(actions.unwrap_or_default());
     }
 
-    pub(crate) fn hand_out(&self, actions: Vec<RouteAction>) {
+    pub(crate) fn dispatch(&self, actions: Vec<RouteAction>) {
         if actions.is_empty() {
             return;
         }
@@ -191,13 +191,13 @@
                 | RouteAction::Cancel { id, .. }
                 | RouteAction::Refuse { id, .. } => *id,
             };
-            if let Some(tell) = requests.get(&id) {
-                let _ = tell.send(action);
+            if let Some(sender) = requests.get(&id) {
+                let _ = sender.send(action);
             }
         }
     }
 
-    /// Counts a request as in flight while the returned guard lives.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub(crate) fn enter(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
@@ -220,12 +220,12 @@
         self.refusing.store(true, Ordering::Relaxed);
     }
 
-    /// Notes how an exchange with the log went.
-    pub(crate) fn note_log(&self, ok: bool) {
+    /// Records whether a call to the log succeeded.
+    pub(crate) fn record_log_result(&self, ok: bool) {
         let now = self.now().0.max(1);
         if ok {
             let since = self.log_failing.swap(0, Ordering::Relaxed);
-            if since > 0 && now.saturating_sub(since) >= LOG_AWAY {
+            if since > 0 && now.saturating_sub(since) >= LOG_UNAVAILABLE_MS {
                 emit(LogEvent::LogBack, "");
             }
         } else if self
@@ -237,19 +237,19 @@
         }
     }
 
-    /// Whether the last exchange with the log failed.
+    /// Returns whether the last call to the log failed.
     pub(crate) fn is_log_failing(&self) -> bool {
         self.log_failing.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether the log is known to be away.
-    pub(crate) fn is_log_away(&self) -> bool {
+    /// Returns whether the log is considered unavailable.
+    pub(crate) fn is_log_unavailable(&self) -> bool {
         let since = self.log_failing.load(Ordering::Relaxed);
-        since > 0 && self.now().0.saturating_sub(since) >= LOG_AWAY
+        since > 0 && self.now().0.saturating_sub(since) >= LOG_UNAVAILABLE_MS
     }
 
-    /// Notes whether other daemons have applied more of the configuration.
-    pub(crate) fn note_behind(&self, behind: bool) {
+    /// Records whether another daemon has applied more of the configuration.
+    pub(crate) fn record_config_lag(&self, behind: bool) {
         if !behind {
             self.behind_since.store(0, Ordering::Relaxed);
             return;
@@ -260,14 +260,14 @@
             .compare_exchange(0, now, Ordering::Relaxed, Ordering::Relaxed);
     }
 
-    pub(crate) fn behind_for(&self) -> u64 {
+    pub(crate) fn config_lag(&self) -> u64 {
         match self.behind_since.load(Ordering::Relaxed) {
             0 => 0,
             since => self.now().0.saturating_sub(since),
         }
     }
 
-    /// Whether requests may be admitted; else why not.
+    /// Returns an error with the reason if requests may not be admitted.
     pub(crate) fn check_admission(&self) -> shaleline_types::Result<()> {
         if self.refusing.load(Ordering::Relaxed) {
             return Err(ErrorKind::Leaving.into());
@@ -275,13 +275,13 @@
         if let Some(halt) = self.config.halt() {
             return Err(Error::new(ErrorKind::Halted, halt.to_string()));
         }
-        if !self.config.is_caught_up() || self.behind_for() > self.settings.lag.0 {
+        if !self.config.is_caught_up() || self.config_lag() > self.settings.lag.0 {
             return Err(ErrorKind::NotReady.into());
         }
         Ok(())
     }
 
-    /// Whether the balancer should send work here.
+    /// Returns whether the balancer should send requests to this daemon.
     pub(crate) fn is_ready(&self) -> bool {
         let drained = self
             .view()
@@ -290,19 +290,19 @@
         !self.is_leaving() && !drained && self.check_admission().is_ok()
     }
 
-    pub(crate) fn note_remote_demand(&self, writer: WriterId, rates: BTreeMap<Model, f64>) {
+    pub(crate) fn record_remote_demand(&self, writer: WriterId, rates: BTreeMap<Model, f64>) {
         let now = self.now();
         let mut all = self.remote_demand.lock().expect("no holder panics");
         all.insert(writer, RemoteDemand { at: now, rates });
-        all.retain(|_, d| now.since(d.at) < DEMAND_AGE);
+        all.retain(|_, d| now.since(d.at) < DEMAND_MAX_AGE_MS);
     }
 
-    /// What other daemons' callers ask for, summed.
+    /// Returns the total demand of other daemons' callers.
     pub(crate) fn remote_demand(&self) -> BTreeMap<Model, f64> {
         let now = self.now();
         let all = self.remote_demand.lock().expect("no holder panics");
         let mut sum = BTreeMap::new();
-        for demand in all.values().filter(|d| now.since(d.at) < DEMAND_AGE) {
+        for demand in all.values().filter(|d| now.since(d.at) < DEMAND_MAX_AGE_MS) {
             for (model, rate) in &demand.rates {
                 *sum.entry(model.clone()).or_default() += rate;
             }
@@ -310,9 +310,9 @@
         sum
     }
 
-    /// Divides the log's appends and the limits among the daemons that live.
-    pub(crate) fn share_out(&self) {
-        let (names, me): (Vec<String>, String) = {
+    /// Divides the append rate of the log and the limits among the live daemons.
+    pub(crate) fn divide_shares(&self) {
+        let (names, local): (Vec<String>, String) = {
             let members = self.members();
             let names = members.alive().map(|m| m.id.instance.to_string());
             (names.collect(), members.local().id.instance.to_string())
@@ -321,14 +321,14 @@
         let rate = (self.settings.log_rate / count).max(1);
         self.budget.lock().expect("no holder panics").set_rate(rate);
         let mut names: Vec<&str> = names.iter().map(String::as_str).collect();
-        if !names.contains(&me.as_str()) {
-            names.push(&me);
+        if !names.contains(&local.as_str()) {
+            names.push(&local);
         }
         let now = self.now();
         self.router().shares().set_members(&names, now);
     }
 
-    /// The name of the daemon that `key` belongs to, by rendezvous over those that live.
+    /// Returns the daemon that owns `key`, by rendezvous hashing over the live daemons.
     pub(crate) fn owner_of(&self, key: &str) -> Option<Member> {
         let members = self.members();
         let names: Vec<&str> = members.alive().map(|m| m.id.instance.as_str()).collect();
@@ -337,13 +337,13 @@
         owner.cloned()
     }
 
-    /// Whether this daemon is the one that `key` belongs to.
+    /// Returns whether this daemon owns `key`.
     pub(crate) fn is_owner_of(&self, key: &str) -> bool {
         self.owner_of(key).is_some_and(|m| m.writer == self.writer)
     }
 }
 
-/// Counts a request as in flight.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlight(Arc<Core>);
 
 impl Drop for InFlight {
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where upstreams answer and what they hold, from the list and the reports.
+//! The addresses of upstreams and the items they hold, from the instance list and the reports.
 
 use shaleline_border::InstanceKind;
 use shaleline_place::{EngineReport, Item};
@@ -12,9 +12,10 @@
     pub(crate) kind: InstanceKind,
     pub(crate) centre: DataCentre,
     pub(crate) service: Option<String>,
-    /// The last report, and when it came.
+    /// The last report.
     pub(crate) report: Option<EngineReport>,
-    pub(crate) heard: Option<Millis>,
+    /// The time of the last report.
+    pub(crate) reported: Option<Millis>,
 }
 
 /// All upstreams by name.
@@ -28,8 +29,8 @@
         self.entries.get(upstream).map(|e| e.address.clone())
     }
 
-    /// The version of a model, or of an adapter on top, that an engine holds ready; the
-    /// wanted one if it does.
+    /// Returns the ready item of an engine that serves the wanted one: the wanted version if the
+    /// engine holds it, else the newest.
     pub(crate) fn item_on(&self, upstream: &Upstream, wanted: &Item) -> Option<Item> {
         let report = self.entries.get(upstream)?.report.as_ref()?;
         if report.holds(wanted) {
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -1,4 +1,4 @@
-//! Takes one request to generate through the router to engines and back.
+//! Runs one generation request: routes it, sends it to engines and forwards the tokens.
 
 use crate::completion::Completion;
 use crate::core::{Core, InFlight};
@@ -13,18 +13,18 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// How often the router is told that tokens still come.
-const PROGRESS: u64 = 250;
+/// The interval at which progress is reported to the router.
+const PROGRESS_INTERVAL_MS: u64 = 250;
 
-/// What the caller's side gets, in order: tokens, then one end or failure.
+/// An event for the caller's side: tokens in order, then one end or failure.
 #[derive(Debug)]
-pub(crate) enum Out {
+pub(crate) enum CompletionEvent {
     Token(String),
     End { total: u32 },
     Fail(Error),
 }
 
-/// The limits of an organisation.
+/// Returns the limits of an organisation.
 pub(crate) fn limits(tenant: &Tenant) -> Limits {
     Limits {
         rate: tenant.rate,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Tells the router that the caller went away, unless the request has ended.
+/// Reports to the router that the caller left, unless the request has ended.
 struct Guard {
     core: Arc<Core>,
     id: RequestId,
@@ -50,8 +50,8 @@
     }
 }
 
-/// One request on its way.
-pub(crate) struct Drive {
+/// The state of one request.
+pub(crate) struct GenerationTask {
     core: Arc<Core>,
     engines: Rc<dyn Engines>,
     completion: Completion,
@@ -60,35 +60,35 @@
     priority: u8,
     arrived: Millis,
     position: u32,
-    told: Millis,
+    reported: Millis,
     guard: Guard,
-    out: mpsc::UnboundedSender<Out>,
+    out: mpsc::UnboundedSender<CompletionEvent>,
 }
 
-/// How one send went on.
-enum Step {
-    /// The answer is whole.
-    Whole,
-    /// The send ended otherwise; the router decides what next.
+/// The outcome of one send.
+enum SendResult {
+    /// The response is complete.
+    Complete,
+    /// The send ended otherwise; the router decides how to continue.
     Ended(AttemptEnd),
-    /// The router gave this attempt up and has sent or will send another.
+    /// The router abandoned this attempt and sends another.
     Superseded,
-    /// The caller went away.
-    Gone,
+    /// The caller left.
+    CallerLeft,
 }
 
-impl Drive {
-    /// Starts a request. Its outcome arrives at the returned receiver; dropping that
-    /// cancels it. Tokens are taken off the engine at its pace, so that a slow reader
-    /// holds none of its places; what is buffered is bounded by the answer's length.
+impl GenerationTask {
+    /// Starts a request. Its events arrive at the returned receiver; dropping the receiver
+    /// cancels the request. Tokens are read at the engine's pace, so that a slow caller does not
+    /// occupy an engine slot; the buffer is bounded by the response's length.
     pub(crate) fn start(
         core: &Arc<Core>,
         engines: &Rc<dyn Engines>,
         tenant: &Tenant,
         completion: Completion,
         id: RequestId,
-    ) -> mpsc::UnboundedReceiver<Out> {
-        let (out, outs) = mpsc::unbounded_channel();
+    ) -> mpsc::UnboundedReceiver<CompletionEvent> {
+        let (out, events) = mpsc::unbounded_channel();
         let now = core.now();
         let salt = tenant.org.as_str();
         let ask = RouteRequest {
@@ -121,7 +121,7 @@
             priority: tenant.priority,
             arrived: now,
             position: 0,
-            told: now,
+            reported: now,
             guard: Guard {
                 core: Arc::clone(core),
                 id,
@@ -132,7 +132,7 @@
         };
         core.route(RouteEvent::Arrive(Box::new(ask)));
         actix_rt::spawn(drive.run(actions));
-        outs
+        events
     }
 
     async fn run(mut self, mut actions: mpsc::UnboundedReceiver<RouteAction>) {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Makes one send. Returns whether the request is over.
+    /// Makes one attempt and returns whether the request has ended.
     async fn attempt(
         &mut self,
         attempt: u32,
@@ -168,21 +168,21 @@
     ) -> bool {
         let id = self.id;
         match self.send(attempt, upstream, actions).await {
-            Step::Whole => {
+            SendResult::Complete => {
                 self.guard.ended = true;
                 let end = AttemptEnd::Whole;
                 self.core.route(RouteEvent::Ended { id, attempt, end });
                 true
             }
-            Step::Ended(end) => {
+            SendResult::Ended(end) => {
                 self.core.route(RouteEvent::Ended { id, attempt, end });
                 false
             }
-            Step::Superseded => {
+            SendResult::Superseded => {
                 self.cancel(attempt, upstream);
                 false
             }
-            Step::Gone => {
+            SendResult::CallerLeft => {
                 self.cancel(attempt, upstream);
                 true
             }
@@ -204,14 +204,14 @@
         attempt: u32,
         upstream: &Upstream,
         actions: &mut mpsc::UnboundedReceiver<RouteAction>,
-    ) -> Step {
+    ) -> SendResult {
         let target = {
             let directory = self.core.directory.read().expect("no holder panics");
             let item = directory.item_on(upstream, &self.completion.item);
             directory.address(upstream).zip(item)
         };
         let Some((address, item)) = target else {
-            return Step::Ended(AttemptEnd::NotSent);
+            return SendResult::Ended(AttemptEnd::NotSent);
         };
         let request = GenerateRequest {
             id: self.id,
@@ -226,66 +226,68 @@
         let engines = Rc::clone(&self.engines);
         let opened = tokio::select! {
             opened = engines.generate(&address, &request) => opened,
-            () = superseded(actions) => return Step::Superseded,
-            () = self.out.closed() => return Step::Gone,
+            () = superseded(actions) => return SendResult::Superseded,
+            () = self.out.closed() => return SendResult::CallerLeft,
         };
         match opened {
-            Ok(pieces) => self.pass_on(attempt, pieces, actions).await,
-            Err(SendError::NotSent) => Step::Ended(AttemptEnd::NotSent),
-            Err(SendError::Refused) => Step::Ended(AttemptEnd::Refused),
-            Err(SendError::Broken) => Step::Ended(AttemptEnd::Broken),
+            Ok(events) => self.forward_tokens(attempt, events, actions).await,
+            Err(SendError::NotSent) => SendResult::Ended(AttemptEnd::NotSent),
+            Err(SendError::Refused) => SendResult::Ended(AttemptEnd::Refused),
+            Err(SendError::Broken) => SendResult::Ended(AttemptEnd::Broken),
         }
     }
 
-    /// Passes tokens on. The position must go up one by one: an answer is whole or it is
-    /// clearly broken, never silently short.
-    async fn pass_on(
+    /// Forwards tokens to the caller. Positions must be consecutive, so that a response is either
+    /// complete or reported as broken, never silently truncated.
+    async fn forward_tokens(
         &mut self,
         attempt: u32,
-        mut pieces: GenerateStream,
+        mut events: GenerateStream,
         actions: &mut mpsc::UnboundedReceiver<RouteAction>,
-    ) -> Step {
+    ) -> SendResult {
         loop {
-            let piece = tokio::select! {
+            let event = tokio::select! {
                 biased;
-                () = superseded(actions) => return Step::Superseded,
-                () = self.out.closed() => return Step::Gone,
-                piece = pieces.next() => piece,
+                () = superseded(actions) => return SendResult::Superseded,
+                () = self.out.closed() => return SendResult::CallerLeft,
+                event = events.next() => event,
             };
-            match piece {
+            match event {
                 Some(Ok(GenerateEvent::Token { index, text })) if index == self.position => {
                     self.position += 1;
-                    self.tell_progress(attempt);
-                    if self.out.send(Out::Token(text)).is_err() {
-                        return Step::Gone;
+                    self.report_progress(attempt);
+                    if self.out.send(CompletionEvent::Token(text)).is_err() {
+                        return SendResult::CallerLeft;
                     }
                 }
                 Some(Ok(GenerateEvent::End { total })) if total == self.position => {
                     self.core.metrics.count_tokens(u64::from(total));
                     self.core.metrics.count_request("model", "ok");
-                    let _ = self.out.send(Out::End { total });
-                    return Step::Whole;
+                    let _ = self.out.send(CompletionEvent::End { total });
+                    return SendResult::Complete;
                 }
-                Some(Ok(_) | Err(_)) | None => return Step::Ended(AttemptEnd::Broken),
+                Some(Ok(_) | Err(_)) | None => return SendResult::Ended(AttemptEnd::Broken),
             }
         }
     }
 
-    fn tell_progress(&mut self, attempt: u32) {
+    fn report_progress(&mut self, attempt: u32) {
         let now = self.core.now();
         let id = self.id;
         if self.position == 1 {
-            self.told = now;
-            self.core.metrics.note_first_token(now.since(self.arrived));
+            self.reported = now;
+            self.core
+                .metrics
+                .record_first_token(now.since(self.arrived));
             self.core.route(RouteEvent::FirstByte { id, attempt });
-        } else if now.since(self.told) >= PROGRESS {
-            self.told = now;
+        } else if now.since(self.reported) >= PROGRESS_INTERVAL_MS {
+            self.reported = now;
             self.core.route(RouteEvent::Progress { id, attempt });
         }
     }
 
-    /// What was refused before its first token did not run, as far as its caller goes:
-    /// a completion has no effect but its answer. Later it is a broken stream.
+    /// Fails the request. Before the first token it counts as not run, because a completion has
+    /// no effect except its response. After that it is a broken stream.
     fn refuse(&mut self, kind: ErrorKind, retry: Option<Millis>) {
         self.guard.ended = true;
         let kind = if self.position > 0 {
@@ -304,11 +306,11 @@
                 &format!("request {} broke off", self.id),
             );
         }
-        let _ = self.out.send(Out::Fail(error));
+        let _ = self.out.send(CompletionEvent::Fail(error));
     }
 }
 
-/// Resolves when the router takes the running attempt back.
+/// Resolves when the router cancels the running attempt.
 pub(crate) async fn superseded(actions: &mut mpsc::UnboundedReceiver<RouteAction>) {
     loop {
         match actions.recv().await {
--- a/crates/daemon/src/dump.rs
+++ b/crates/daemon/src/dump.rs
@@ -1,4 +1,4 @@
-//! What a daemon shows of its state on request. No secret is in it but as a hash.
+//! The daemon's state as shown to operators. Secrets appear only as hashes.
 
 use crate::core::Core;
 use crate::directory::Entry;
@@ -15,13 +15,13 @@
         "next": journal.next(),
         "pending": journal.pending(),
         "caught_up": journal.is_caught_up(),
-        "snapshot": journal.snapped(),
+        "snapshot": journal.snapshot_offset(),
         "halt": journal.halt().map(|h| h.to_string()),
         "writers": journal.with_state(|s| s.writers()),
     })
 }
 
-/// The whole state.
+/// Returns the whole state.
 pub(crate) fn state(core: &Arc<Core>) -> Value {
     let once = |j: &Journal<_>| {
         let mut value = journal(j);
@@ -35,8 +35,8 @@
         "ready": core.is_ready(),
         "leaving": core.is_leaving(),
         "in_flight": core.in_flight(),
-        "log_away": core.is_log_away(),
-        "behind_ms": core.behind_for(),
+        "log_away": core.is_log_unavailable(),
+        "behind_ms": core.config_lag(),
         "config": journal(&core.config),
         "cell": cell(core),
         "once": core.once.iter().map(once).collect::<Vec<_>>(),
@@ -50,14 +50,14 @@
     let mut value = journal(&core.cell);
     core.cell.with(|c| {
         value["owner"] = json!(c.lease().holder());
-        let engine = |(name, book): (&Upstream, &shaleline_place::EngineLedger)| {
+        let engine = |(name, ledger): (&Upstream, &shaleline_place::EngineLedger)| {
             json!({
                 "engine": name,
-                "memory_mb": book.memory,
-                "promised_mb": book.used(),
-                "checks": book.checks_fence,
-                "leaving": book.leaving,
-                "slots": book.slots,
+                "memory_mb": ledger.memory,
+                "promised_mb": ledger.used(),
+                "checks": ledger.checks_fence,
+                "leaving": ledger.leaving,
+                "slots": ledger.slots,
             })
         };
         value["engines"] = c.engines().iter().map(engine).collect();
@@ -65,7 +65,7 @@
     value
 }
 
-/// The upstreams as the router knows them, with their addresses.
+/// Returns the upstreams known to the router, with their addresses.
 pub(crate) fn upstreams(core: &Arc<Core>) -> Value {
     let now = core.now();
     let stats = core.router().upstreams(now);
@@ -76,14 +76,14 @@
     json!({"known": stats, "addresses": addresses})
 }
 
-/// The daemons that are alive, as this one believes.
+/// Returns the daemons that this daemon considers alive.
 pub(crate) fn members(core: &Arc<Core>) -> Value {
     let members = core.members();
     let alive: Vec<Value> = members.alive().map(|m| json!(m)).collect();
     json!(alive)
 }
 
-/// The configuration in force here, or one organisation's part of it.
+/// Returns the configuration in force on this daemon, or one organisation's part of it.
 pub(crate) fn config(core: &Arc<Core>, role: &Role) -> Value {
     core.config.with_state(|state| {
         let machine = state.machine();
--- a/crates/daemon/src/emit.rs
+++ b/crates/daemon/src/emit.rs
@@ -1,4 +1,4 @@
-//! Numbered log events as lines of JSON.
+//! Writes numbered log events as lines of JSON.
 
 use eyre::{Result, WrapErr};
 use flexi_logger::{DeferredNow, Logger};
@@ -6,7 +6,7 @@
 use shaleline_types::{Level, LogEvent};
 use std::io::Write;
 
-/// Logs a numbered event. `detail` names no secret.
+/// Logs a numbered event. `detail` must not contain secrets.
 pub(crate) fn emit(event: LogEvent, detail: &str) {
     let level = match event.level() {
         Level::Error => log::Level::Error,
@@ -25,9 +25,9 @@
 /// Writes log lines to the standard error stream, as JSON.
 ///
 /// # Errors
-/// Where `level` is no specification that `flexi_logger` understands.
+/// Fails if `level` is not a valid `flexi_logger` specification.
 pub fn start_logging(level: &str) -> Result<()> {
-    let logger = Logger::try_with_str(level).wrap_err("log level")?;
+    let logger = Logger::try_with_str(level).wrap_err("invalid log level")?;
     logger
         .format(format_line)
         .log_to_stderr()
--- a/crates/daemon/src/flag.rs
+++ b/crates/daemon/src/flag.rs
@@ -1,19 +1,19 @@
-//! The settings as flags and environment variables, in one table. The page
-//! `docs/CONFIGURATION.md` is held against it.
+//! The table of all settings with their flags and environment variables. A test compares
+//! `docs/CONFIGURATION.md` with it.
 
 /// One setting.
 #[derive(Debug, Clone, Copy)]
 pub struct Flag {
     /// The long flag.
     pub name: &'static str,
-    /// The value where neither flag nor variable is given; none if it must be given.
+    /// The default value; none if the setting is required.
     pub default: Option<&'static str>,
-    /// What it sets, with its unit.
+    /// The description, with the unit.
     pub help: &'static str,
 }
 
 impl Flag {
-    /// The environment variable for this flag.
+    /// Returns the environment variable for this flag.
     #[must_use]
     pub fn variable(&self) -> String {
         let name = self.name.replace('-', "_").to_uppercase();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Every setting of the daemon.
+    /// All settings of the daemon.
     pub const ALL: &'static [Self] = &[
         Self::new("instance", None, "name of this instance"),
         Self::new("centre", None, "data centre of this instance"),
--- a/crates/daemon/src/forward.rs
+++ b/crates/daemon/src/forward.rs
@@ -1,27 +1,28 @@
-//! Forwards a keyed call to the daemon that its journal shard belongs to.
+//! Forwards a keyed call to the daemon that owns the journal shard of its key.
 //!
-//! That saves appends and keeps a shard's journal at one daemon. It is not what makes
-//! the call safe: if the forwarded call fails, this daemon asks the journal itself.
+//! This saves appends and keeps a shard's journal on one daemon. Correctness does not depend on
+//! it: if the forwarded call fails, this daemon uses the journal itself.
 
 use crate::call::Job;
-use crate::caller::Local;
+use crate::caller::WorkerState;
 use actix_web::{HttpRequest, HttpResponse};
 use shaleline_peer::Member;
 use std::time::Duration;
 
-/// Marks a call that was forwarded once, so that it is not forwarded again.
+/// The header of a forwarded call, which prevents it from being forwarded again.
 const FORWARDED: &str = "x-shaleline-forwarded";
 
-const ANSWER_LIMIT: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Whether another daemon forwarded the call.
+/// Returns whether another daemon forwarded the call.
 pub(crate) fn is_forwarded(request: &HttpRequest) -> bool {
     request.headers().contains_key(FORWARDED)
 }
 
-/// Forwards the call. `None` where no whole answer came back.
-pub(crate) async fn to(
-    local: &Local,
+/// Forwards the call. Returns `None` if no complete response was received, or the owner is
+/// unavailable or stopping.
+pub(crate) async fn forward_to(
+    local: &WorkerState,
     request: &HttpRequest,
     job: &Job,
     owner: &Member,
@@ -29,8 +30,8 @@
     let target = request.uri().path_and_query()?.as_str();
     let url = format!("http://{}{target}", owner.caller);
     let method = request.method().as_str().parse().ok()?;
-    let patience = Duration::from_millis(job.tenant.patience.saturating_add(2_000));
-    let mut sent = local.client.request(method, url).timeout(patience);
+    let timeout = Duration::from_millis(job.tenant.patience.saturating_add(2_000));
+    let mut sent = local.client.request(method, url).timeout(timeout);
     for name in ["authorization", "content-type", "idempotency-key"] {
         if let Some(value) = request.headers().get(name) {
             sent = sent.insert_header((name, value.as_bytes()));
@@ -39,15 +40,15 @@
     sent = sent.insert_header((FORWARDED, "1"));
     let mut answer = sent.send_body(job.call.body.clone()).await.ok()?;
     let status = answer.status().as_u16();
-    let body = answer.body().limit(ANSWER_LIMIT).await.ok()?;
-    let not_there = status == 503 && !answer.headers().contains_key(crate::answer::OUTCOME);
+    let body = answer.body().limit(MAX_BODY_BYTES).await.ok()?;
+    let unavailable = status == 503 && !answer.headers().contains_key(crate::answer::OUTCOME);
     let leaving = body.windows(LEAVING.len()).any(|w| w == LEAVING) && status == 503;
-    if not_there || leaving {
+    if unavailable || leaving {
         return None;
     }
     let status = actix_web::http::StatusCode::from_u16(status).ok()?;
     let mut response = HttpResponse::build(status);
-    let passed = [
+    let forwarded = [
         crate::answer::OUTCOME,
         crate::answer::REQUEST,
         "x-shaleline-kept",
@@ -55,7 +56,7 @@
         "retry-after-ms",
         "content-type",
     ];
-    for name in passed {
+    for name in forwarded {
         if let Some(value) = answer.headers().get(name) {
             response.insert_header((name, value.as_bytes()));
         }
@@ -63,5 +64,5 @@
     Some(response.body(body))
 }
 
-/// A daemon that is stopping did not run the call; this one may.
+/// The error code of a daemon that is stopping and did not run the call.
 const LEAVING: &[u8] = b"\"leaving\"";
--- a/crates/daemon/src/guarded.rs
+++ b/crates/daemon/src/guarded.rs
@@ -1,4 +1,4 @@
-//! Runs a decision so that a broken invariant stops that decision and not the daemon.
+//! Runs decisions so that a broken invariant aborts the decision instead of the daemon.
 
 use crate::emit::emit;
 use shaleline_types::LogEvent;
@@ -7,9 +7,8 @@
 
 static BROKEN: AtomicU64 = AtomicU64::new(0);
 
-/// Runs `decide`. A panic in it is logged and counted, and gives `None`. What the
-/// decision had changed by then stays changed; the checks of the crates below come
-/// before the effects.
+/// Runs `decide` and returns `None` if it panics; the panic is logged and counted. Changes made
+/// before the panic remain, but the decision crates check invariants before any effect.
 pub(crate) fn guarded<R>(what: &str, decide: impl FnOnce() -> R) -> Option<R> {
     match catch_unwind(AssertUnwindSafe(decide)) {
         Ok(result) => Some(result),
@@ -21,7 +20,7 @@
     }
 }
 
-/// How many invariants were found broken since the start.
+/// Returns the number of broken invariants detected since the start.
 pub(crate) fn broken() -> u64 {
     BROKEN.load(Ordering::Relaxed)
 }
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -1,4 +1,4 @@
-//! A replica that the threads of a daemon share.
+//! A replica of a log stream that the daemon's threads share.
 
 use crate::guarded::guarded;
 use shaleline_log::{
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::{oneshot, watch, Notify};
 
-/// A submitted record whose verdict is awaited.
+/// A submitted record that awaits its verdict.
 pub(crate) struct Pending<V> {
     pub(crate) ticket: Ticket,
     pub(crate) done: oneshot::Receiver<Committed<V>>,
@@ -23,14 +23,14 @@
     caught_up: bool,
 }
 
-/// The appends that this daemon may make, over all its streams.
+/// The append budget of this daemon, shared by all its streams.
 pub(crate) type SharedBudget = Arc<Mutex<AppendBudget>>;
 
-/// A stream's replica with what waits for it.
+/// A stream's replica with the tasks that wait for its verdicts and changes.
 pub(crate) struct Journal<M: StateMachine> {
     stream: Stream,
     snapshots: Stream,
-    /// Whether the stream is followed also while nothing waits for it.
+    /// Whether the stream is also followed while no task waits for it.
     always: bool,
     budget: SharedBudget,
     inner: Mutex<Inner<M>>,
@@ -70,14 +70,14 @@
         &self.snapshots
     }
 
-    /// Looks at the machine.
-    pub(crate) fn with<R>(&self, look: impl FnOnce(&M) -> R) -> R {
-        look(self.inner().replica.machine())
+    /// Calls a function with the state machine.
+    pub(crate) fn with<R>(&self, read: impl FnOnce(&M) -> R) -> R {
+        read(self.inner().replica.machine())
     }
 
-    /// Looks at the whole replayed state.
-    pub(crate) fn with_state<R>(&self, look: impl FnOnce(&State<M>) -> R) -> R {
-        look(self.inner().replica.state())
+    /// Calls a function with the whole replayed state.
+    pub(crate) fn with_state<R>(&self, read: impl FnOnce(&State<M>) -> R) -> R {
+        read(self.inner().replica.state())
     }
 
     pub(crate) fn next(&self) -> Offset {
@@ -92,29 +92,29 @@
         self.inner().replica.pending()
     }
 
-    /// Whether it has once read to the log's end, or taken a peer's state.
+    /// Returns whether the replica has reached the end of the log once, or restored a peer's state.
     pub(crate) fn is_caught_up(&self) -> bool {
         self.inner().caught_up
     }
 
-    /// Whether the stream is to be read now.
-    pub(crate) fn is_wanted(&self) -> bool {
+    /// Returns whether the stream must be read now.
+    pub(crate) fn is_needed(&self) -> bool {
         self.always || self.watchers.load(Ordering::Relaxed) > 0 || self.pending() > 0
     }
 
     pub(crate) fn submit(&self, priority: Priority, body: M::Body) -> Pending<M::Verdict> {
-        let (tell, done) = oneshot::channel();
+        let (sender, done) = oneshot::channel();
         let ticket = {
             let mut inner = self.inner();
             let ticket = inner.replica.submit(priority, body);
-            inner.waiters.insert(ticket, tell);
+            inner.waiters.insert(ticket, sender);
             ticket
         };
         self.wake.notify_waiters();
         Pending { ticket, done }
     }
 
-    /// Takes back a record that has not left yet.
+    /// Withdraws a record that has not been sent yet. Returns whether it was withdrawn.
     pub(crate) fn withdraw(&self, priority: Priority, ticket: Ticket) -> bool {
         let mut inner = self.inner();
         inner.waiters.remove(&ticket);
@@ -143,19 +143,19 @@
         result
     }
 
-    /// Hands out verdicts and tells watchers that the state changed.
+    /// Delivers verdicts and notifies watchers of a changed state.
     fn deliver(&self, mut inner: MutexGuard<'_, Inner<M>>) {
         for done in inner.replica.take_committed() {
-            if let Some(tell) = inner.waiters.remove(&done.ticket) {
-                let _ = tell.send(done);
+            if let Some(sender) = inner.waiters.remove(&done.ticket) {
+                let _ = sender.send(done);
             }
         }
         let next = inner.replica.next();
         drop(inner);
         self.changed.send_if_modified(|last| {
-            let moved = *last != next;
+            let advanced = *last != next;
             *last = next;
-            moved
+            advanced
         });
     }
 
@@ -167,11 +167,11 @@
         restored
     }
 
-    pub(crate) fn snapped(&self) -> Offset {
+    pub(crate) fn snapshot_offset(&self) -> Offset {
         self.inner().replica.snapshot_offset()
     }
 
-    pub(crate) fn note_snapshot(&self, covers: Offset) {
+    pub(crate) fn record_snapshot(&self, covers: Offset) {
         self.inner().replica.record_snapshot(covers);
     }
 
@@ -179,12 +179,12 @@
         self.inner().replica.to_snapshot()
     }
 
-    /// Waits until there is something to append or read.
-    pub(crate) async fn woken(&self) {
+    /// Waits until there is a record to append or a stream to read.
+    pub(crate) async fn notified(&self) {
         self.wake.notified().await;
     }
 
-    /// Follows the stream while the returned watch lives.
+    /// Follows the stream until the returned watch is dropped.
     pub(crate) fn watch(&self) -> Watch<'_, M> {
         self.watchers.fetch_add(1, Ordering::Relaxed);
         self.wake.notify_waiters();
@@ -195,7 +195,7 @@
     }
 }
 
-/// Keeps a stream followed and tells of changes.
+/// Keeps a stream followed and reports its changes.
 pub(crate) struct Watch<'a, M: StateMachine> {
     journal: &'a Journal<M>,
     changed: watch::Receiver<Offset>,
--- a/crates/daemon/src/keyed.rs
+++ b/crates/daemon/src/keyed.rs
@@ -1,11 +1,11 @@
-//! Calls that must not be repeated: the at-most-once journal around one send.
+//! Calls that must run at most once: one send, recorded in the at-most-once journal.
 //!
-//! The work goes on when the caller goes away: once a key is begun, its end is to be
-//! recorded, so that the caller's repeat gets the answer.
+//! A call continues after its caller disconnects: once a key is begun, its end must be recorded,
+//! so that the caller's retry gets the response.
 
 use crate::answer::mark;
 use crate::call::{send, Job, Permit};
-use crate::caller::Local;
+use crate::caller::WorkerState;
 use crate::core::Core;
 use crate::emit::emit;
 use crate::forward;
@@ -27,30 +27,34 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a holder must be gone before its key counts as lost: longer than a heartbeat
-/// may be late.
+/// How long a holder must be gone before its key is considered lost: longer than the delay of a
+/// heartbeat.
 const HOLDER_GRACE: Duration = Duration::from_secs(5);
-const WATCH_POLL: Duration = Duration::from_millis(500);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs a keyed call, at the daemon that its shard belongs to where that can be reached.
-pub(crate) async fn run(local: &Local, request: &HttpRequest, job: &Job) -> Result<HttpResponse> {
+/// Runs a keyed call, at the daemon that owns its shard if that daemon is reachable.
+pub(crate) async fn run(
+    local: &WorkerState,
+    request: &HttpRequest,
+    job: &Job,
+) -> Result<HttpResponse> {
     let key = key_of(job);
     let shard = key.shard(local.core.settings.shards);
     let name = format!("once-{shard}");
     if !forward::is_forwarded(request) {
         let owner = local.core.owner_of(&name);
         if let Some(owner) = owner.filter(|m| m.writer != local.core.writer) {
-            if let Some(response) = forward::to(local, request, job, &owner).await {
+            if let Some(response) = forward::forward_to(local, request, job, &owner).await {
                 return Ok(response);
             }
         }
     }
-    let (tell, told) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let runner = Runner::new(local, job, key, shard);
     actix_rt::spawn(async move {
-        let _ = tell.send(runner.run().await);
+        let _ = sender.send(runner.run().await);
     });
-    let ended = told
+    let ended = receiver
         .await
         .unwrap_or_else(|_| Err(ErrorKind::Internal.into()));
     let (answer, kept) = ended?;
@@ -79,7 +83,7 @@
     }
 }
 
-/// Carries out what an [`Attempt`] decides.
+/// Executes the actions of an [`Attempt`].
 struct Runner {
     core: Arc<Core>,
     services: Rc<dyn Services>,
@@ -90,15 +94,15 @@
 
 type Ended = Result<(KeptAnswer, bool)>;
 
-/// A send that the router has allowed, until the journal does.
-struct Allowed {
+/// A send that the router has granted and the journal has not yet granted.
+struct GrantedSend {
     permit: Permit,
     number: u32,
     upstream: Upstream,
 }
 
 impl Runner {
-    fn new(local: &Local, job: &Job, key: OnceKey, shard: u32) -> Self {
+    fn new(local: &WorkerState, job: &Job, key: OnceKey, shard: u32) -> Self {
         let request = digest(&[
             job.call.method.as_bytes(),
             job.call.path.as_bytes(),
@@ -134,20 +138,20 @@
         if let Some(verdict) = self.known() {
             let event = AttemptEvent::Known(verdict);
             let actions = self.step(event);
-            return self.carry_out(actions, None).await;
+            return self.execute(actions, None).await;
         }
-        if self.core.is_log_away() {
+        if self.core.is_log_unavailable() {
             return Err(ErrorKind::LogUnavailable.into());
         }
         let mut permit = Permit::ask(&self.core, &self.job);
         let (number, upstream) = permit.granted().await?;
-        let allowed = Allowed {
+        let granted = GrantedSend {
             permit,
             number,
             upstream,
         };
         let actions = self.step(AttemptEvent::Start);
-        self.carry_out(actions, Some(allowed)).await
+        self.execute(actions, Some(granted)).await
     }
 
     fn step(&mut self, event: AttemptEvent) -> Vec<AttemptAction> {
@@ -155,12 +159,12 @@
         self.attempt.step(event, now)
     }
 
-    /// Carries actions out until the attempt has its end. The appends that follow the end
-    /// go on in the background; their journal is flushed before the daemon stops.
-    async fn carry_out(
+    /// Executes actions until the attempt ends. Appends after the end continue in the background;
+    /// the journal is flushed before the daemon stops.
+    async fn execute(
         &mut self,
         first: Vec<AttemptAction>,
-        mut allowed: Option<Allowed>,
+        mut granted: Option<GrantedSend>,
     ) -> Ended {
         let mut actions = first;
         loop {
@@ -169,12 +173,12 @@
             for action in actions {
                 match action {
                     AttemptAction::Append(body @ OnceBody::Begun { .. }) => {
-                        event = Some(self.ask(body).await);
+                        event = Some(self.append_begun(body).await);
                     }
                     AttemptAction::Append(body) => {
                         drop(self.journal().submit(Priority::Once, body));
                     }
-                    AttemptAction::Send => event = Some(self.send(allowed.take()).await),
+                    AttemptAction::Send => event = Some(self.send(granted.take()).await),
                     AttemptAction::Watch(writer) => event = Some(self.watch(writer).await),
                     AttemptAction::Answer { answer, kept } => ended = Some(Ok((answer, kept))),
                     AttemptAction::Fail(kind) => ended = Some(Err(self.failure(kind))),
@@ -195,9 +199,9 @@
         kind.into()
     }
 
-    /// Appends `begun` and waits for the verdict, not longer than the settings allow. A
-    /// record that has not left yet is taken back.
-    async fn ask(&self, body: OnceBody) -> AttemptEvent {
+    /// Appends `begun` and waits for the verdict up to the timeout in the settings. After the
+    /// timeout, a record that has not been sent yet is withdrawn.
+    async fn append_begun(&self, body: OnceBody) -> AttemptEvent {
         let pending = self.journal().submit(Priority::Once, body);
         let wait = Duration::from_millis(self.core.settings.once_wait.0);
         match tokio::time::timeout(wait, pending.done).await {
@@ -210,17 +214,17 @@
         }
     }
 
-    async fn send(&self, allowed: Option<Allowed>) -> AttemptEvent {
-        let mut allowed = match allowed {
-            Some(allowed) => allowed,
-            None => match self.allow().await {
-                Ok(allowed) => allowed,
+    async fn send(&self, granted: Option<GrantedSend>) -> AttemptEvent {
+        let mut granted = match granted {
+            Some(granted) => granted,
+            None => match self.acquire().await {
+                Ok(granted) => granted,
                 Err(_) => return AttemptEvent::Sent(SendOutcome::NotSent),
             },
         };
-        let patience = Duration::from_millis(self.job.tenant.patience);
-        let sent = send(&self.core, &*self.services, &self.job, &allowed.upstream);
-        let (end, result) = match tokio::time::timeout(patience, sent).await {
+        let timeout = Duration::from_millis(self.job.tenant.patience);
+        let sent = send(&self.core, &*self.services, &self.job, &granted.upstream);
+        let (end, result) = match tokio::time::timeout(timeout, sent).await {
             Ok(Ok(answer)) => (
                 AttemptEnd::Whole,
                 AttemptEvent::Sent(SendOutcome::Answered(kept(&answer))),
@@ -238,21 +242,21 @@
             }
             Err(_) => (AttemptEnd::Broken, AttemptEvent::Deadline),
         };
-        allowed.permit.end(allowed.number, end);
+        granted.permit.end(granted.number, end);
         result
     }
 
-    async fn allow(&self) -> Result<Allowed> {
+    async fn acquire(&self) -> Result<GrantedSend> {
         let mut permit = Permit::ask(&self.core, &self.job);
         let (number, upstream) = permit.granted().await?;
-        Ok(Allowed {
+        Ok(GrantedSend {
             permit,
             number,
             upstream,
         })
     }
 
-    /// Follows a key that another attempt holds until it ends or its holder is gone.
+    /// Follows a key held by another attempt until that attempt ends or its holder is gone.
     async fn watch(&self, holder: WriterId) -> AttemptEvent {
         let journal = self.journal();
         let mut watch = journal.watch();
@@ -277,7 +281,7 @@
                     return AttemptEvent::OtherLost;
                 }
             }
-            let _ = tokio::time::timeout(WATCH_POLL, watch.changed()).await;
+            let _ = tokio::time::timeout(WATCH_POLL_INTERVAL, watch.changed()).await;
         }
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,16 +1,16 @@
-//! The shaleline daemon: the same on every instance, none set aside for control.
+//! The shaleline daemon. Every instance runs the same daemon; there is no separate control plane.
 //!
-//! [`Daemon::start`] brings one up from [`Settings`]. Its parts:
+//! [`Daemon::start`] starts a daemon from [`Settings`]. Its parts:
 //!
-//! * [`Core`] is what the parts share: router, journals, membership, configuration view.
-//! * The caller's side (`caller`, `completion`, `drive`, `call`, `keyed`) takes requests
-//!   to upstreams and back.
-//! * The operator's side (`admin`, `dump`) takes changes and shows state.
-//! * Actors keep the rest going: [`log_actor`](crate) follows the log's streams, others
-//!   exchange heartbeats, poll upstreams, own the cell, write snapshots.
+//! * [`Core`] is the shared state: router, journals, membership, configuration view.
+//! * The caller's side (`caller`, `completion`, `drive`, `call`, `keyed`) forwards requests
+//!   to upstreams and returns their responses.
+//! * The operator's side (`admin`, `dump`) accepts changes and shows state.
+//! * Actors run the background work: [`log_actor`](crate) follows the log's streams, others
+//!   exchange heartbeats, poll upstreams, own the cell and write snapshots.
 //!
-//! All decisions are in the crates below this one; here are clocks, sockets and threads.
-//! `docs/ARCHITECTURE.md` follows a request, a change and an order on their way.
+//! The crates that this one depends on make all decisions; this crate provides clocks, sockets
+//! and threads. `docs/ARCHITECTURE.md` describes the path of a request, a change and an order.
 
 mod admin;
 mod answer;
--- a/crates/daemon/src/member_actor.rs
+++ b/crates/daemon/src/member_actor.rs
@@ -1,4 +1,4 @@
-//! Exchanges heartbeats, and takes a peer's state where the log can't be reached.
+//! Exchanges heartbeats, and restores a peer's state while the log is unavailable.
 
 use crate::core::Core;
 use crate::emit::emit;
@@ -16,16 +16,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const ROUND: Duration = Duration::from_millis(1_000);
-const CALL: Duration = Duration::from_millis(800);
-const LIST_ROUNDS: u64 = 2;
+const ROUND_INTERVAL: Duration = Duration::from_millis(1_000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+const LIST_INTERVAL_ROUNDS: u64 = 2;
 
-/// Limits that are borrowed in a round, and daemons that are asked for each.
-const MOST_BORROWED: usize = 8;
-const LENDERS: usize = 2;
+/// The maximum number of limits borrowed in a round, and of daemons asked for each.
+const MAX_BORROWED: usize = 8;
+const MAX_LENDERS: usize = 2;
 
-/// Rounds between two reports of demand to the cell's owner.
-const DEMAND_ROUNDS: u64 = 3;
+/// The interval of demand reports to the cell's owner, in rounds.
+const DEMAND_INTERVAL_ROUNDS: u64 = 3;
 
 /// The actor of membership.
 pub(crate) struct MemberActor {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Clients of other daemons, kept while they are used.
+/// The clients of other daemons, kept while those daemons are alive.
 #[derive(Default)]
 pub(crate) struct Peers {
     clients: HashMap<String, HttpClient>,
@@ -53,14 +53,14 @@
         if let Some(client) = self.clients.get(address) {
             return Some(client.clone());
         }
-        let builder = HttpClientBuilder::default().request_timeout(CALL);
+        let builder = HttpClientBuilder::default().request_timeout(CALL_TIMEOUT);
         let client = builder.build(format!("http://{address}")).ok()?;
         self.clients.insert(address.to_owned(), client.clone());
         Some(client)
     }
 
-    fn keep(&mut self, used: &[String]) {
-        self.clients.retain(|address, _| used.contains(address));
+    fn retain(&mut self, alive: &[String]) {
+        self.clients.retain(|address, _| alive.contains(address));
     }
 }
 
@@ -70,23 +70,23 @@
     let mut round = 0;
     loop {
         round += 1;
-        if round % LIST_ROUNDS == 1 {
+        if round % LIST_INTERVAL_ROUNDS == 1 {
             refresh_list(&core, &list, &mut listed).await;
         }
         let message = core.members().begin_round();
         let targets = core.members().targets(&listed);
         let calls = targets.iter().filter_map(|t| Some((t, peers.client(t)?)));
-        let calls = calls.map(|(to, client)| beat(&core, to, client, message.clone()));
+        let calls = calls.map(|(to, client)| send_heartbeat(&core, to, client, message.clone()));
         futures_util::future::join_all(calls).await;
-        settle(&core);
-        follow_peers(&core, &mut peers).await;
+        finish_round(&core);
+        restore_from_peers(&core, &mut peers).await;
         borrow(&core, &mut peers).await;
-        if round % DEMAND_ROUNDS == 0 {
-            tell_demand(&core, &mut peers).await;
+        if round % DEMAND_INTERVAL_ROUNDS == 0 {
+            report_demand(&core, &mut peers).await;
         }
-        let known: Vec<String> = core.members().alive().map(|m| m.peer.clone()).collect();
-        peers.keep(&known);
-        actix_rt::time::sleep(ROUND).await;
+        let alive: Vec<String> = core.members().alive().map(|m| m.peer.clone()).collect();
+        peers.retain(&alive);
+        actix_rt::time::sleep(ROUND_INTERVAL).await;
     }
 }
 
@@ -101,19 +101,24 @@
     listed.dedup();
 }
 
-/// Sends a message to one daemon and takes its answer, or notes that there was none.
-pub(crate) async fn beat(core: &Arc<Core>, to: &str, client: HttpClient, message: Heartbeat) {
+/// Sends a heartbeat to one daemon and applies the response, or records the failure.
+pub(crate) async fn send_heartbeat(
+    core: &Arc<Core>,
+    to: &str,
+    client: HttpClient,
+    message: Heartbeat,
+) {
     let secret = core.settings.secret.clone();
-    let answer = client.heartbeat(secret, message).await;
+    let response = client.heartbeat(secret, message).await;
     let now = core.now();
-    match answer {
-        Ok(answer) => core.members().on_response(&answer, now),
+    match response {
+        Ok(response) => core.members().on_response(&response, now),
         Err(_) => core.members().on_call_failure(to, now),
     }
 }
 
-/// Draws the conclusions of a round.
-pub(crate) fn settle(core: &Arc<Core>) {
+/// Applies the results of a round.
+pub(crate) fn finish_round(core: &Arc<Core>) {
     let now = core.now();
     let (events, latest_config, own) = {
         let mut members = core.members();
@@ -130,31 +135,34 @@
             MemberEvent::Left(id) => emit(LogEvent::MemberLeft, id.instance.as_str()),
         }
     }
-    core.share_out();
-    core.note_behind(latest_config > own);
+    core.divide_shares();
+    core.record_config_lag(latest_config > own);
 }
 
-/// A daemon that is behind, or has no state at all because the log is away, takes a
-/// peer's state with the offset it reaches.
-async fn follow_peers(core: &Arc<Core>, peers: &mut Peers) {
-    if !core.is_log_away() {
+/// Restores the state of peers while the log is unavailable, if their offset is higher.
+async fn restore_from_peers(core: &Arc<Core>, peers: &mut Peers) {
+    if !core.is_log_unavailable() {
         return;
     }
     let others: Vec<String> = {
         let members = core.members();
-        let me = members.local().id.clone();
-        let others = members.alive().filter(|m| m.id != me);
+        let local = members.local().id.clone();
+        let others = members.alive().filter(|m| m.id != local);
         others.map(|m| m.peer.clone()).collect()
     };
     for address in others.iter().take(2) {
         if let Some(client) = peers.client(address) {
-            take_state(core, &client, &core.config).await;
-            take_state(core, &client, &core.cell).await;
+            restore_state(core, &client, &core.config).await;
+            restore_state(core, &client, &core.cell).await;
         }
     }
 }
 
-async fn take_state<M: StateMachine>(core: &Arc<Core>, client: &HttpClient, journal: &Journal<M>) {
+async fn restore_state<M: StateMachine>(
+    core: &Arc<Core>,
+    client: &HttpClient,
+    journal: &Journal<M>,
+) {
     let request = RelayRequest {
         stream: journal.stream().clone(),
         next: journal.next(),
@@ -176,40 +184,40 @@
     }
 }
 
-/// Borrows parts of the limits that stood in the way since the last round. Whoever was
-/// refused meanwhile was told when to come back.
+/// Borrows parts of the limits that were exceeded since the last round. Requests refused in the
+/// meantime received a retry-after time.
 async fn borrow(core: &Arc<Core>, peers: &mut Peers) {
-    let short = core.router().take_exceeded();
+    let exceeded = core.router().take_exceeded();
     let others: Vec<String> = {
         let members = core.members();
-        let me = members.local().id.clone();
-        let others = members.alive().filter(|m| m.id != me);
+        let local = members.local().id.clone();
+        let others = members.alive().filter(|m| m.id != local);
         others.map(|m| m.peer.clone()).collect()
     };
     if others.is_empty() {
         return;
     }
-    let turn = core.now().0 as usize / ROUND.as_millis() as usize;
-    for (i, (org, kind)) in short.into_iter().take(MOST_BORROWED).enumerate() {
-        for k in 0..LENDERS.min(others.len()) {
+    let turn = core.now().0 as usize / ROUND_INTERVAL.as_millis() as usize;
+    for (i, (org, kind)) in exceeded.into_iter().take(MAX_BORROWED).enumerate() {
+        for k in 0..MAX_LENDERS.min(others.len()) {
             let Some(client) = peers.client(&others[(turn + i + k) % others.len()]) else {
                 continue;
             };
-            let asked = core.now();
+            let requested = core.now();
             let request = LoanRequest {
                 org: org.clone(),
                 limit: kind.as_str().to_owned(),
             };
             let lent = client.lend(core.settings.secret.clone(), request).await;
             if let Ok(amount) = lent {
-                core.router().shares().borrow(&org, kind, amount, asked);
+                core.router().shares().borrow(&org, kind, amount, requested);
             }
         }
     }
 }
 
-/// Tells the owner of the cell what this daemon's callers ask for.
-async fn tell_demand(core: &Arc<Core>, peers: &mut Peers) {
+/// Reports the demand of this daemon's callers to the owner of the cell.
+async fn report_demand(core: &Arc<Core>, peers: &mut Peers) {
     let owner = core.cell.with(|c| c.lease().holder().map(|h| h.writer));
     let Some(owner) = owner.filter(|w| *w != core.writer) else {
         return;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, shown in the Prometheus text format.
+//! Metrics collected with `opentelemetry` and exported in the Prometheus text format.
 
 use eyre::{Result, WrapErr};
 use opentelemetry::metrics::{Counter, Histogram, MeterProvider as _};
@@ -6,7 +6,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// What the daemon counts.
+/// The metrics of the daemon.
 pub(crate) struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -41,13 +41,13 @@
         })
     }
 
-    /// Counts an ended request by the kind of route and how it ended.
+    /// Counts an ended request by its kind of route and its result code.
     pub(crate) fn count_request(&self, route: &'static str, code: &'static str) {
         let labels = [KeyValue::new("route", route), KeyValue::new("code", code)];
         self.requests.add(1, &labels);
     }
 
-    pub(crate) fn note_first_token(&self, millis: u64) {
+    pub(crate) fn record_first_token(&self, millis: u64) {
         self.first_token.record(millis as f64, &[]);
     }
 
--- a/crates/daemon/src/owner_actor.rs
+++ b/crates/daemon/src/owner_actor.rs
@@ -1,4 +1,4 @@
-//! Owns the cell, where this daemon is the one: keeps the lease, plans, sends orders.
+//! Owns the cell while this daemon holds its lease: renews the lease, plans and sends orders.
 
 use crate::core::Core;
 use crate::directory::Entry;
@@ -19,36 +19,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-const ROUND: Duration = Duration::from_millis(100);
-/// A daemon that has just started does not know yet who is alive, and challenges nobody.
-const SETTLED: Millis = Millis(4_000);
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// The time after the start during which this daemon challenges no lease holder, because its
+/// membership is still incomplete.
+const CHALLENGE_DELAY: Millis = Millis(4_000);
 
-const PLAN_EVERY: u64 = 300;
+const PLAN_INTERVAL_MS: u64 = 300;
 
-/// Planning takes at most one in so many parts of a core's time.
-const PLAN_PART: u64 = 50;
+/// The reciprocal of the maximum fraction of a core's time that planning takes.
+const PLAN_TIME_DIVISOR: u64 = 50;
 
-/// An engine that has not reported for so long gets no loads.
-const SILENT: u64 = 2_000;
+/// The time without a report after which an engine gets no loads.
+const REPORT_TIMEOUT_MS: u64 = 2_000;
 
 /// The actor of ownership.
 pub(crate) struct OwnerActor {
     core: Arc<Core>,
     engines: Rc<dyn Engines>,
-    duty: Rc<RefCell<Duty>>,
+    ownership: Rc<RefCell<Ownership>>,
 }
 
-/// What this daemon does as owner, and to become it.
-struct Duty {
+/// The state with which this daemon acquires the lease and acts as owner.
+struct Ownership {
     keeper: Keeper,
     dispatcher: Dispatcher,
     policy: Box<dyn Policy>,
-    planned: Millis,
-    /// How long to wait for the next plan, so that planning takes a bounded part of a core.
-    pause: u64,
-    store: f64,
-    stored: Millis,
-    owns: bool,
+    last_plan: Millis,
+    /// The interval until the next plan in milliseconds, which bounds the planning time.
+    plan_interval: u64,
+    load_credit: f64,
+    credited: Millis,
+    is_owner: bool,
 }
 
 impl OwnerActor {
@@ -57,20 +58,20 @@
             move_weight: core.settings.move_weight,
             ..PlanSettings::default()
         };
-        let duty = Duty {
+        let ownership = Ownership {
             keeper: Keeper::new(core.writer, core.settings.instance.clone()),
             dispatcher: Dispatcher::default(),
             policy: Box::new(Planner::new(settings)),
-            planned: Millis(0),
-            pause: PLAN_EVERY,
-            store: 0.0,
-            stored: core.now(),
-            owns: false,
+            last_plan: Millis(0),
+            plan_interval: PLAN_INTERVAL_MS,
+            load_credit: 0.0,
+            credited: core.now(),
+            is_owner: false,
         };
         Self {
             core: Arc::clone(core),
             engines,
-            duty: Rc::new(RefCell::new(duty)),
+            ownership: Rc::new(RefCell::new(ownership)),
         }
     }
 }
@@ -79,11 +80,11 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(ROUND, |this, ctx| {
+        ctx.run_interval(ROUND_INTERVAL, |this, ctx| {
             let bodies = this.round();
             for body in bodies {
-                let follow = follow(Arc::clone(&this.core), Rc::clone(&this.duty), body);
-                ctx.spawn(follow.into_actor(this));
+                let append = append(Arc::clone(&this.core), Rc::clone(&this.ownership), body);
+                ctx.spawn(append.into_actor(this));
             }
             this.send_orders(ctx);
         });
@@ -91,40 +92,44 @@
 }
 
 impl OwnerActor {
-    /// One round: the records to append.
+    /// Runs one round and returns the records to append.
     fn round(&self) -> Vec<CellBody> {
         let core = &self.core;
         if !core.cell.is_caught_up() || core.cell.halt().is_some() {
             return Vec::new();
         }
-        let mut duty = self.duty.borrow_mut();
-        let mut bodies: Vec<CellBody> = duty.keep(core).map(CellBody::Lease).into_iter().collect();
+        let mut ownership = self.ownership.borrow_mut();
+        let mut bodies: Vec<CellBody> = ownership
+            .step_lease(core)
+            .map(CellBody::Lease)
+            .into_iter()
+            .collect();
         let fence = core.cell.with(|c| c.lease().fence_of(core.writer));
-        duty.note_owner(fence.is_some());
-        duty.dispatcher.set_fence(fence);
+        ownership.set_owner(fence.is_some());
+        ownership.dispatcher.set_fence(fence);
         if fence.is_none() || core.is_leaving() {
             return bodies;
         }
         let reports = reports(core);
         let now = core.now();
-        let Duty { dispatcher, .. } = &mut *duty;
+        let Ownership { dispatcher, .. } = &mut *ownership;
         bodies.extend(
             core.cell
                 .with(|cell| dispatcher.records(cell, &reports, now)),
         );
-        if now.since(duty.planned) >= duty.pause {
-            duty.planned = now;
+        if now.since(ownership.last_plan) >= ownership.plan_interval {
+            ownership.last_plan = now;
             let started = Instant::now();
-            let steps = duty.plan(core);
+            let steps = ownership.plan(core);
             let took = started.elapsed().as_millis() as u64;
-            duty.pause = PLAN_EVERY.max(took * PLAN_PART);
-            bodies.extend(duty.dispatcher.steps(&steps));
+            ownership.plan_interval = PLAN_INTERVAL_MS.max(took * PLAN_TIME_DIVISOR);
+            bodies.extend(ownership.dispatcher.steps(&steps));
         }
         bodies
     }
 
     fn send_orders(&self, ctx: &mut Context<Self>) {
-        let orders = self.duty.borrow_mut().dispatcher.take_orders();
+        let orders = self.ownership.borrow_mut().dispatcher.take_orders();
         for order in orders {
             let directory = self.core.directory.read().expect("no holder panics");
             let Some(address) = directory.address(&order.engine) else {
@@ -148,8 +153,8 @@
     }
 }
 
-/// Appends a record and takes its verdict back to whoever asked for it.
-async fn follow(core: Arc<Core>, duty: Rc<RefCell<Duty>>, body: CellBody) {
+/// Appends a record and passes its verdict to the lease keeper or the dispatcher.
+async fn append(core: Arc<Core>, ownership: Rc<RefCell<Ownership>>, body: CellBody) {
     let priority = match body {
         CellBody::Lease(_) => Priority::Lease,
         _ => Priority::Order,
@@ -159,13 +164,13 @@
         return;
     };
     let now = core.now();
-    let mut duty = duty.borrow_mut();
+    let mut ownership = ownership.borrow_mut();
     match done.verdict {
         CellVerdict::Lease(verdict) => {
             if matches!(verdict, LeaseVerdict::Challenged(_)) {
                 emit(LogEvent::LeaseChallenged, core.cell.stream().as_str());
             }
-            duty.keeper.on_verdict(verdict, now);
+            ownership.keeper.on_verdict(verdict, now);
         }
         verdict => {
             if let CellBody::Settled {
@@ -178,18 +183,18 @@
                     &format!("{item} on {engine}: {end}"),
                 );
             }
-            let dispatcher = &mut duty.dispatcher;
+            let dispatcher = &mut ownership.dispatcher;
             core.cell
                 .with(|cell| dispatcher.on_verdict(&body, verdict, cell, now));
         }
     }
 }
 
-impl Duty {
-    fn keep(&mut self, core: &Arc<Core>) -> Option<shaleline_lease::LeaseBody> {
+impl Ownership {
+    fn step_lease(&mut self, core: &Arc<Core>) -> Option<shaleline_lease::LeaseBody> {
         let preferred = core.is_owner_of(core.cell.stream().as_str());
         let free = core.cell.with(|c| c.lease().holder().is_none());
-        let preferred = preferred && (free || core.now() >= SETTLED);
+        let preferred = preferred && (free || core.now() >= CHALLENGE_DELAY);
         let stopping = core.is_leaving();
         let now = core.now();
         core.cell.with(|cell| {
@@ -206,32 +211,35 @@
         })
     }
 
-    fn note_owner(&mut self, owns: bool) {
-        if owns != self.owns {
-            let event = if owns {
+    fn set_owner(&mut self, is_owner: bool) {
+        if is_owner != self.is_owner {
+            let event = if is_owner {
                 LogEvent::LeaseTaken
             } else {
                 LogEvent::LeaseLost
             };
             emit(event, "cell");
-            self.owns = owns;
-            self.store = 0.0;
+            self.is_owner = is_owner;
+            self.load_credit = 0.0;
         }
     }
 
-    /// How many loads the weight store allows now.
-    fn loads(&mut self, core: &Arc<Core>, cell: &CellMachine) -> usize {
+    /// Returns the number of loads that the weight store allows now.
+    fn load_limit(&mut self, core: &Arc<Core>, cell: &CellMachine) -> usize {
         let now = core.now();
-        let gained = now.since(self.stored) as f64 / 1_000.0 * core.settings.store_rate;
-        self.stored = now;
-        self.store = (self.store + gained).min(core.settings.store_rate.max(1.0));
-        let room = core.settings.store_most.saturating_sub(cell.loading());
-        room.min(self.store as usize)
+        let gained = now.since(self.credited) as f64 / 1_000.0 * core.settings.store_rate;
+        self.credited = now;
+        self.load_credit = (self.load_credit + gained).min(core.settings.store_rate.max(1.0));
+        let available = core
+            .settings
+            .store_concurrency
+            .saturating_sub(cell.loading());
+        available.min(self.load_credit as usize)
     }
 
     fn plan(&mut self, core: &Arc<Core>) -> Vec<Step> {
         let views = views(core);
-        let wanted = wanted(&core.view());
+        let desired = desired_items(&core.view());
         let now = core.now();
         let mut demand = core.demand().clone();
         demand.set_peer_rates(core.remote_demand());
@@ -239,21 +247,21 @@
             let plan = PlanInput {
                 ledgers: cell.engines(),
                 views: &views,
-                desired: &wanted,
+                desired: &desired,
                 demand: &demand,
-                load_limit: self.loads(core, cell),
+                load_limit: self.load_limit(core, cell),
             };
             self.policy.plan(plan, now)
         });
         let loads = steps.iter().filter(|s| matches!(s, Step::Load { .. }));
-        self.store -= loads.count() as f64;
+        self.load_credit -= loads.count() as f64;
         steps
     }
 }
 
 fn engine_entries<R>(
     core: &Arc<Core>,
-    one: impl Fn(&Upstream, &Entry) -> Option<R>,
+    convert: impl Fn(&Upstream, &Entry) -> Option<R>,
 ) -> BTreeMap<Upstream, R> {
     let directory = core.directory.read().expect("no holder panics");
     let engines = directory
@@ -261,7 +269,7 @@
         .iter()
         .filter(|(_, e)| e.kind == InstanceKind::Engine);
     engines
-        .filter_map(|(n, e)| Some((n.clone(), one(n, e)?)))
+        .filter_map(|(n, e)| Some((n.clone(), convert(n, e)?)))
         .collect()
 }
 
@@ -281,23 +289,25 @@
         Some(EngineView {
             centre: entry.centre.clone(),
             capacity,
-            alive: entry.heard.is_some_and(|at| now.since(at) < SILENT),
+            alive: entry
+                .reported
+                .is_some_and(|at| now.since(at) < REPORT_TIMEOUT_MS),
         })
     })
 }
 
-/// What some organisation may call.
-fn wanted(view: &View) -> DesiredItems {
+/// Returns the items that at least one organisation may use.
+fn desired_items(view: &View) -> DesiredItems {
     let models = view.used_models();
     let adapters = view.used_adapters();
-    let mut wants = Vec::new();
+    let mut items = Vec::new();
     for spec in view
         .fleet
         .models
         .iter()
         .filter(|m| models.contains(m.name.as_str()))
     {
-        wants.push(DesiredItem {
+        items.push(DesiredItem {
             item: Item::base(&spec.name, spec.version),
             size: spec.size.plus(spec.kv.0),
         });
@@ -311,10 +321,10 @@
         let Some(base) = view.fleet.model(spec.base.as_str()) else {
             continue;
         };
-        wants.push(DesiredItem {
+        items.push(DesiredItem {
             item: Item::base(&base.name, base.version).with_adapter(&spec.name),
             size: spec.size,
         });
     }
-    DesiredItems::from_items(wants)
+    DesiredItems::from_items(items)
 }
--- a/crates/daemon/src/peer_server.rs
+++ b/crates/daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of other daemons.
+//! Serves the calls of other daemons.
 
 use crate::core::Core;
 use crate::journal::Journal;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 const DENIED: i32 = -32_001;
-const BODY_LIMIT: u32 = 64 << 20;
+const MAX_BODY_BYTES: u32 = 64 << 20;
 
 struct PeerService {
     core: Arc<Core>,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Chunks of a snapshot, if this daemon's state reaches further than `next`.
+/// Returns the chunks of a snapshot if this daemon has applied records beyond `next`.
 fn chunks<M: StateMachine>(journal: &Journal<M>, next: Offset) -> Vec<String> {
     if journal.next() <= next || journal.halt().is_some() {
         return Vec::new();
@@ -68,7 +68,7 @@
 
     async fn demand(&self, secret: String, report: DemandReport) -> RpcResult<()> {
         self.check(&secret)?;
-        self.core.note_remote_demand(report.writer, report.rates);
+        self.core.record_remote_demand(report.writer, report.rates);
         Ok(())
     }
 
@@ -85,16 +85,18 @@
     }
 }
 
-/// Starts to answer on a listener.
+/// Starts to serve other daemons on a listener.
 pub(crate) async fn serve(core: &Arc<Core>, listener: TcpListener) -> Result<ServerHandle> {
     listener.set_nonblocking(true)?;
     let config = jsonrpsee::server::ServerConfig::builder()
-        .max_request_body_size(BODY_LIMIT)
-        .max_response_body_size(BODY_LIMIT)
+        .max_request_body_size(MAX_BODY_BYTES)
+        .max_response_body_size(MAX_BODY_BYTES)
         .http_only()
         .build();
     let builder = Server::builder().set_config(config);
-    let server = builder.build_from_tcp(listener).wrap_err("peer server")?;
+    let server = builder
+        .build_from_tcp(listener)
+        .wrap_err("can't start the peer server")?;
     let service = PeerService {
         core: Arc::clone(core),
         secret: TokenHash::from_token(&core.settings.secret),
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags and environment variables, all checked at start.
+//! Settings from flags and environment variables, all validated at the start.
 
 use crate::flag::Flag;
 use getopts::{Matches, Options};
@@ -8,19 +8,19 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-const LEAST_SECRET: usize = 16;
-const MOST_SHARDS: u32 = 1_024;
+const MIN_SECRET_BYTES: usize = 16;
+const MAX_SHARDS: u32 = 1_024;
 
-/// Every fault of the settings at once.
+/// All errors of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The faults, each naming its flag.
+    /// The error messages, each with the name of its flag.
     pub faults: Vec<String>,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} faults in the settings:", self.faults.len())?;
+        write!(f, "{} errors in the settings:", self.faults.len())?;
         for fault in &self.faults {
             write!(f, "\n  {fault}")?;
         }
@@ -52,10 +52,10 @@
     pub(crate) token_limit: u32,
     pub(crate) log_rate: u64,
     pub(crate) lag: Millis,
-    pub(crate) snap_records: u64,
-    pub(crate) snap_age: Millis,
+    pub(crate) snapshot_records: u64,
+    pub(crate) snapshot_age: Millis,
     pub(crate) store_rate: f64,
-    pub(crate) store_most: usize,
+    pub(crate) store_concurrency: usize,
     pub(crate) engine_rate: f64,
     pub(crate) move_weight: f64,
     pub(crate) grace: Millis,
@@ -64,10 +64,11 @@
 }
 
 impl Settings {
-    /// Reads flags, with environment variables behind them and defaults behind those.
+    /// Reads the settings. Flags take precedence over environment variables, and those over
+    /// defaults.
     ///
     /// # Errors
-    /// [`SettingsError`] with every fault.
+    /// [`SettingsError`] with all errors.
     pub fn from_args(
         args: &[String],
         variables: &BTreeMap<String, String>,
@@ -85,7 +86,7 @@
             faults: Vec::new(),
         };
         for extra in reader.matches.free.clone() {
-            reader.faults.push(format!("{extra:?} is no flag"));
+            reader.faults.push(format!("{extra:?} is not a flag"));
         }
         let settings = reader.settings();
         match settings {
@@ -96,13 +97,13 @@
         }
     }
 
-    /// The level at which to log.
+    /// Returns the log specification.
     #[must_use]
     pub fn log_level(&self) -> &str {
         &self.log_level
     }
 
-    /// The text that lists the flags.
+    /// Returns the help text with all flags.
     #[must_use]
     pub fn usage() -> String {
         let mut text = String::from("usage: shalelined [FLAGS]\n\n");
@@ -167,13 +168,15 @@
     fn number<T: FromStr + PartialOrd + fmt::Display + Copy>(
         &mut self,
         name: &'static str,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> Option<T> {
         self.checked(name, |text| {
-            let value: T = text.parse().map_err(|_| format!("{text:?} is no number"))?;
-            if value < least || value > most {
-                return Err(format!("{value} is outside {least} to {most}"));
+            let value: T = text
+                .parse()
+                .map_err(|_| format!("{text:?} is not a number"))?;
+            if value < min || value > max {
+                return Err(format!("{value} is outside {min} to {max}"));
             }
             Ok(value)
         })
@@ -181,7 +184,8 @@
 
     fn address(&mut self, name: &'static str) -> Option<SocketAddr> {
         self.checked(name, |t| {
-            t.parse().map_err(|_| format!("{t:?} is no IP:PORT"))
+            t.parse()
+                .map_err(|_| format!("{t:?} is not an IP:PORT address"))
         })
     }
 
@@ -194,13 +198,13 @@
             let parts = text.split(',').filter(|p| !p.is_empty());
             let check = |p: &str| match p.parse::<SocketAddr>() {
                 Ok(_) => Ok(p.to_owned()),
-                Err(_) => Err(format!("{p:?} is no IP:PORT")),
+                Err(_) => Err(format!("{p:?} is not an IP:PORT address")),
             };
             parts.map(check).collect()
         })
     }
 
-    /// Reads every setting before it gives up, so that every fault is named.
+    /// Reads all settings before it returns, so that all errors are reported at once.
     fn settings(&mut self) -> Option<Settings> {
         let instance = self.named("instance", Instance::from_text);
         let centre = self.named("centre", DataCentre::from_text);
@@ -211,9 +215,10 @@
         let platform = self.address("platform");
         let seeds = self.seeds();
         let secret = self.checked("peer-secret", |t| {
-            let long = t.len() >= LEAST_SECRET;
-            long.then(|| t.to_owned())
-                .ok_or_else(|| format!("shorter than {LEAST_SECRET} characters"))
+            let valid = t.len() >= MIN_SECRET_BYTES;
+            valid
+                .then(|| t.to_owned())
+                .ok_or_else(|| format!("shorter than {MIN_SECRET_BYTES} characters"))
         });
         let admin_hash = self.checked("admin-hash", |t| match t {
             "" => Ok(None),
@@ -222,7 +227,7 @@
                 .ok_or("not 64 hexadecimal digits".to_owned()),
         });
         let workers = self.number("workers", 1, 256);
-        let shards = self.number("once-shards", 1, MOST_SHARDS);
+        let shards = self.number("once-shards", 1, MAX_SHARDS);
         let once_wait = self.millis("once-wait");
         let queue = self.number("queue", 1, 1_000_000);
         let stall = self.millis("stall");
@@ -230,10 +235,10 @@
         let token_limit = self.number("token-limit", 1, 1_000_000);
         let log_rate = self.number("log-rate", 1, 1_000_000);
         let lag = self.millis("lag");
-        let snap_records = self.number("snapshot-records", 10, 10_000_000);
-        let snap_age = self.millis("snapshot-age");
+        let snapshot_records = self.number("snapshot-records", 10, 10_000_000);
+        let snapshot_age = self.millis("snapshot-age");
         let store_rate = self.number("store-rate", 0.001, 100_000.0);
-        let store_most = self.number("store-at-once", 1, 100_000);
+        let store_concurrency = self.number("store-at-once", 1, 100_000);
         let engine_rate = self.number("engine-rate", 1.0, 1e9);
         let move_weight = self.number("move-weight", 0.0, 1e6);
         let grace = self.millis("grace");
@@ -259,10 +264,10 @@
             token_limit: token_limit?,
             log_rate: log_rate?,
             lag: lag?,
-            snap_records: snap_records?,
-            snap_age: snap_age?,
+            snapshot_records: snapshot_records?,
+            snapshot_age: snapshot_age?,
             store_rate: store_rate?,
-            store_most: store_most?,
+            store_concurrency: store_concurrency?,
             engine_rate: engine_rate?,
             move_weight: move_weight?,
             grace: grace?,
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,6 +1,6 @@
-//! Brings a daemon up and down.
+//! Starts and stops a daemon.
 
-use crate::caller::{self, Local};
+use crate::caller::{self, WorkerState};
 use crate::core::Core;
 use crate::emit::emit;
 use crate::journal::Journal;
@@ -30,30 +30,30 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-const POLL: Duration = Duration::from_millis(20);
-const ADMIN_BODY: usize = 16 << 20;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const ADMIN_BODY_BYTES: usize = 16 << 20;
 const BACKLOG: u32 = 4_096;
 
-/// Connections that one serving thread holds at the most.
-const MOST_CONNECTIONS: usize = 20_000;
+/// The maximum number of connections of one serving thread.
+const MAX_CONNECTIONS: usize = 20_000;
 
-/// How long a connection may take to send its request's head.
+/// The timeout for receiving a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A daemon that is up.
+/// A running daemon.
 pub struct Daemon {
-    /// Where it answers callers.
+    /// The address for callers.
     pub caller: SocketAddr,
-    /// Where it answers operators.
+    /// The address for operators.
     pub admin: SocketAddr,
-    /// Where it answers other daemons.
+    /// The address for other daemons.
     pub peer: SocketAddr,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Sockets that are bound before anything is told to others.
-struct Bound {
+/// The sockets, which are bound before their addresses are announced.
+struct Listeners {
     caller: TcpListener,
     admin: TcpListener,
     peer: TcpListener,
@@ -61,37 +61,37 @@
 
 fn bind(address: &mut SocketAddr) -> Result<TcpListener> {
     let listener =
-        TcpListener::bind(*address).wrap_err_with(|| format!("can't listen at {address}"))?;
+        TcpListener::bind(*address).wrap_err_with(|| format!("can't listen on {address}"))?;
     *address = listener.local_addr()?;
     Ok(listener)
 }
 
 impl Daemon {
-    /// Brings a daemon up in a thread of its own. Port 0 stands for any.
+    /// Starts a daemon in its own thread. Port 0 selects any free port.
     ///
     /// # Errors
-    /// Where an address can't be listened at or a thread can't be had.
+    /// Fails if an address can't be bound or the thread can't be started.
     pub fn start(mut settings: Settings) -> Result<Self> {
-        let bound = Bound {
+        let listeners = Listeners {
             caller: bind(&mut settings.listen)?,
             admin: bind(&mut settings.admin)?,
             peer: bind(&mut settings.peer)?,
         };
         let (caller, admin, peer) = (settings.listen, settings.admin, settings.peer);
         let (stop, stopped) = watch::channel(false);
-        let (tell, told) = mpsc::channel();
+        let (started, startup) = mpsc::channel();
         let thread = std::thread::Builder::new()
             .name(format!("daemon-{}", settings.instance))
             .spawn(move || {
                 let system = actix_rt::System::new();
                 system.block_on(async move {
-                    let result = run(settings, bound, stopped, &tell).await;
+                    let result = run(settings, listeners, stopped, &started).await;
                     if let Err(e) = result {
-                        let _ = tell.send(Err(e));
+                        let _ = started.send(Err(e));
                     }
                 });
             })?;
-        told.recv().wrap_err("the daemon did not come up")??;
+        startup.recv().wrap_err("the daemon did not start")??;
         Ok(Self {
             caller,
             admin,
@@ -101,19 +101,19 @@
         })
     }
 
-    /// Asks it to stop. It serves on for a while, refuses what comes after that, and ends
-    /// once nothing is in flight.
+    /// Requests a stop. The daemon serves for a grace period, then refuses new requests, and
+    /// exits once no request is in flight.
     pub fn begin_stop(&self) {
         let _ = self.stop.send(true);
     }
 
-    /// Stops it and waits until it has.
+    /// Stops the daemon and waits until it has exited.
     pub fn stop(mut self) {
         self.begin_stop();
         self.wait();
     }
 
-    /// Waits until it has stopped.
+    /// Waits until the daemon has exited.
     pub fn join(mut self) {
         self.wait();
     }
@@ -134,21 +134,21 @@
     let core = Arc::clone(core);
     let server = HttpServer::new(move || {
         let platform = HttpPlatform::new(&core.settings.platform);
-        let local = Local {
+        let local = WorkerState {
             core: Arc::clone(&core),
             engines: Rc::new(platform.clone()),
             services: Rc::new(platform),
             client: awc::Client::default(),
         };
         App::new()
-            .app_data(JsonConfig::default().limit(ADMIN_BODY))
+            .app_data(JsonConfig::default().limit(ADMIN_BODY_BYTES))
             .app_data(Data::new(local))
             .configure(routes)
     });
     let server = server
         .workers(workers)
         .backlog(BACKLOG)
-        .max_connections(MOST_CONNECTIONS)
+        .max_connections(MAX_CONNECTIONS)
         .client_request_timeout(HEAD_TIMEOUT)
         .disable_signals()
         .shutdown_timeout(5);
@@ -157,22 +157,22 @@
 
 async fn run(
     settings: Settings,
-    bound: Bound,
+    listeners: Listeners,
     mut stopped: watch::Receiver<bool>,
-    tell: &mpsc::Sender<Result<()>>,
+    started: &mpsc::Sender<Result<()>>,
 ) -> Result<()> {
     let workers = settings.workers;
     let core = Core::new(settings)?;
     start_actors(&core);
-    let peers = peer_server::serve(&core, bound.peer).await?;
-    let callers = serve(&core, bound.caller, caller::routes, workers)?;
-    let admins = serve(&core, bound.admin, admin::routes, 1)?;
+    let peers = peer_server::serve(&core, listeners.peer).await?;
+    let callers = serve(&core, listeners.caller, caller::routes, workers)?;
+    let admins = serve(&core, listeners.admin, admin::routes, 1)?;
     let handles = [callers.handle(), admins.handle()];
     actix_rt::spawn(callers);
     actix_rt::spawn(admins);
     emit(LogEvent::Started, core.settings.instance.as_str());
     actix_rt::spawn(announce_ready(Arc::clone(&core)));
-    let _ = tell.send(Ok(()));
+    let _ = started.send(Ok(()));
     let _ = stopped.wait_for(|s| *s).await;
     drain(&core, &handles).await;
     let _ = peers.stop();
@@ -215,15 +215,15 @@
 
 async fn announce_ready(core: Arc<Core>) {
     while !core.is_ready() && !core.is_leaving() {
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     if core.is_ready() {
         emit(LogEvent::Ready, core.settings.instance.as_str());
     }
 }
 
-/// A planned stop: first others learn of it while everything is still served; then what
-/// comes is refused as not run; what is in flight ends; its records reach the log.
+/// Runs a planned stop. The daemon first announces it while still serving, then refuses new
+/// requests as not run, and waits until requests in flight end and their records are in the log.
 async fn drain(core: &Arc<Core>, handles: &[ServerHandle]) {
     emit(LogEvent::Stopping, core.settings.instance.as_str());
     let mut drain = Drain::new(core.settings.grace, core.settings.stop_limit);
@@ -233,7 +233,7 @@
             Some(DrainAction::Announce) => core.begin_leaving(),
             Some(DrainAction::Refuse) => core.begin_refusing(),
             Some(DrainAction::Exit) => break,
-            None => actix_rt::time::sleep(POLL).await,
+            None => actix_rt::time::sleep(POLL_INTERVAL).await,
         }
         action = drain.tick(unfinished(core), core.now());
     }
--- a/crates/daemon/src/tick_actor.rs
+++ b/crates/daemon/src/tick_actor.rs
@@ -1,4 +1,4 @@
-//! Passes time to the router and keeps the configuration view fresh.
+//! Sends ticks to the router and keeps the configuration view current.
 
 use crate::core::Core;
 use actix::prelude::*;
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Ticks.
+/// The actor of the router's ticks and the configuration view.
 pub(crate) struct TickActor {
     pub(crate) core: Arc<Core>,
 }
@@ -18,12 +18,12 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        ctx.run_interval(TICK, |this, _| this.core.route(RouteEvent::Tick));
+        ctx.run_interval(TICK_INTERVAL, |this, _| this.core.route(RouteEvent::Tick));
         ctx.spawn(follow_config(Arc::clone(&self.core)).into_actor(self));
     }
 }
 
-/// Resolves the view as soon as the configuration moves on.
+/// Rebuilds the view whenever the configuration changes.
 async fn follow_config(core: Arc<Core>) {
     let mut watch = core.config.watch();
     let mut last = Offset(0);
--- a/crates/daemon/src/upstream_actor.rs
+++ b/crates/daemon/src/upstream_actor.rs
@@ -1,4 +1,4 @@
-//! Follows the list of instances and the upstreams' reports.
+//! Polls the list of instances and the upstreams' reports.
 
 use crate::core::Core;
 use crate::directory::Entry;
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const POLL: Duration = Duration::from_millis(250);
-const LIST_POLLS: u64 = 4;
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const LIST_INTERVAL_POLLS: u64 = 4;
 
-/// How long an upstream may not report before it is taken out.
-const SILENT: u64 = 3_000;
+/// The time without a report after which an upstream is removed from routing.
+const REPORT_TIMEOUT_MS: u64 = 3_000;
 
 /// The actor of upstreams.
 pub(crate) struct UpstreamActor {
@@ -40,9 +40,9 @@
     let mut leaving = BTreeSet::new();
     let mut round = 0_u64;
     loop {
-        if round % LIST_POLLS == 0 {
+        if round % LIST_INTERVAL_POLLS == 0 {
             if let Ok(listed) = list.list().await {
-                take_list(&core, &listed, &mut leaving);
+                apply_list(&core, &listed, &mut leaving);
             }
         }
         round += 1;
@@ -51,29 +51,29 @@
             let pair = |(n, e): (&Upstream, &Entry)| (n.clone(), e.address.clone());
             directory.entries.iter().map(pair).collect()
         };
-        let asked = targets.iter().map(|(_, address)| engines.report(address));
-        let reports = futures_util::future::join_all(asked).await;
+        let calls = targets.iter().map(|(_, address)| engines.report(address));
+        let reports = futures_util::future::join_all(calls).await;
         for ((name, _), report) in targets.iter().zip(reports) {
             match report {
-                Ok(report) => take_report(&core, name, report),
-                Err(_) => take_silence(&core, name),
+                Ok(report) => apply_report(&core, name, report),
+                Err(_) => on_report_failure(&core, name),
             }
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Takes the list over. Whatever it marks as leaving, or an operator drains, gets no new
-/// work; whatever it no longer shows is gone.
-fn take_list(core: &Arc<Core>, listed: &[ListedInstance], leaving: &mut BTreeSet<Upstream>) {
+/// Applies the list. Upstreams that it marks as leaving, or that an operator drains, get no new
+/// requests; upstreams that it no longer contains are removed.
+fn apply_list(core: &Arc<Core>, listed: &[ListedInstance], leaving: &mut BTreeSet<Upstream>) {
     let upstreams = listed.iter().filter(|l| l.kind != InstanceKind::Daemon);
-    let mut shown = BTreeSet::new();
+    let mut present = BTreeSet::new();
     let view = core.view();
     for line in upstreams {
         let Ok(name) = Upstream::from_text(&line.name) else {
             continue;
         };
-        note_entry(core, &name, line);
+        update_entry(core, &name, line);
         let on = line.leaving || view.drained.contains(&line.name);
         let changed = if on {
             leaving.insert(name.clone())
@@ -87,13 +87,13 @@
             let upstream = name.clone();
             core.route(RouteEvent::Leaving { upstream, on });
         }
-        shown.insert(name);
+        present.insert(name);
     }
     let gone: Vec<Upstream> = {
         let mut directory = core.directory.write().expect("no holder panics");
-        let names = directory.entries.keys().filter(|n| !shown.contains(*n));
+        let names = directory.entries.keys().filter(|n| !present.contains(*n));
         let gone: Vec<Upstream> = names.cloned().collect();
-        directory.entries.retain(|n, _| shown.contains(n));
+        directory.entries.retain(|n, _| present.contains(n));
         gone
     };
     for name in gone {
@@ -105,7 +105,7 @@
     }
 }
 
-fn note_entry(core: &Arc<Core>, name: &Upstream, line: &ListedInstance) {
+fn update_entry(core: &Arc<Core>, name: &Upstream, line: &ListedInstance) {
     let mut directory = core.directory.write().expect("no holder panics");
     let fresh = || Entry {
         address: line.address.clone(),
@@ -113,7 +113,7 @@
         centre: line.centre.clone(),
         service: line.service.clone(),
         report: None,
-        heard: None,
+        reported: None,
     };
     let entry = directory.entries.entry(name.clone()).or_insert_with(fresh);
     if entry.address != line.address {
@@ -121,14 +121,14 @@
     }
 }
 
-fn take_report(core: &Arc<Core>, name: &Upstream, report: UpstreamReport) {
+fn apply_report(core: &Arc<Core>, name: &Upstream, report: UpstreamReport) {
     let now = core.now();
     let info = {
         let mut directory = core.directory.write().expect("no holder panics");
         let Some(entry) = directory.entries.get_mut(name) else {
             return;
         };
-        entry.heard = Some(now);
+        entry.reported = Some(now);
         entry.report.clone_from(&report.engine);
         UpstreamInfo {
             centre: entry.centre.clone(),
@@ -157,7 +157,8 @@
     core.route(RouteEvent::Report { upstream, load });
 }
 
-/// What an upstream serves: an engine whatever it holds ready and is not ordered to drop.
+/// Returns the routes that an upstream serves. An engine serves the ready items that it is not
+/// ordered to unload.
 fn routes(core: &Arc<Core>, name: &Upstream, entry: &Entry) -> Vec<Route> {
     if entry.kind == InstanceKind::Service {
         let service = entry.service.as_deref().map(Service::from_text);
@@ -166,9 +167,9 @@
     let resident = entry.report.iter().flat_map(|r| r.resident.iter());
     let unloading: BTreeSet<Item> = core.cell.with(|cell| {
         let slots = cell.engines().get(name).map(|b| &b.slots);
-        let going = slots.into_iter().flatten();
-        let going = going.filter(|(_, s)| s.state == SlotState::Unloading);
-        going.map(|(i, _)| i.clone()).collect()
+        let leaving = slots.into_iter().flatten();
+        let leaving = leaving.filter(|(_, s)| s.state == SlotState::Unloading);
+        leaving.map(|(i, _)| i.clone()).collect()
     });
     let ready = resident
         .map(|r| &r.item)
@@ -180,15 +181,15 @@
     ready.map(route).collect()
 }
 
-/// An upstream that has been silent for too long is taken out until it reports again.
-fn take_silence(core: &Arc<Core>, name: &Upstream) {
+/// Removes an upstream from routing if its last report is too old, until it reports again.
+fn on_report_failure(core: &Arc<Core>, name: &Upstream) {
     let now = core.now();
-    let silent = {
+    let expired = {
         let directory = core.directory.read().expect("no holder panics");
-        let heard = directory.entries.get(name).and_then(|e| e.heard);
-        heard.is_some_and(|at| now.since(at) > SILENT)
+        let reported = directory.entries.get(name).and_then(|e| e.reported);
+        reported.is_some_and(|at| now.since(at) > REPORT_TIMEOUT_MS)
     };
-    if silent {
+    if expired {
         if let Some(entry) = core
             .directory
             .write()
@@ -196,7 +197,7 @@
             .entries
             .get_mut(name)
         {
-            entry.heard = None;
+            entry.reported = None;
             entry.report = None;
         }
         core.route(RouteEvent::Removed(name.clone()));
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and their page.
+//! Tests of the settings and of their page in the documentation.
 
 use shaleline_daemon::{Flag, Settings};
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     }
 }
 
-const SOUND: [(&str, &str); 7] = [
+const VALID: [(&str, &str); 7] = [
     ("SHALELINE_INSTANCE", "entry-1"),
     ("SHALELINE_CENTRE", "dc1"),
     ("SHALELINE_LISTEN", "127.0.0.1:1"),
@@ -26,19 +26,19 @@
 ];
 
 #[test]
-fn variables_are_enough_and_flags_go_first() {
-    assert_eq!(faults(&[], &SOUND), [""; 0]);
+fn flags_take_precedence_over_variables() {
+    assert_eq!(faults(&[], &VALID), [""; 0]);
     assert_eq!(
-        faults(&["--listen", "nowhere"], &SOUND),
-        ["--listen: \"nowhere\" is no IP:PORT"]
+        faults(&["--listen", "nowhere"], &VALID),
+        ["--listen: \"nowhere\" is not an IP:PORT address"]
     );
 }
 
 #[test]
-fn every_fault_is_named_at_once() {
+fn all_errors_are_reported_at_once() {
     let found = faults(
         &["--queue", "0", "--seeds", "x", "--peer-secret", "short"],
-        &SOUND[..2],
+        &VALID[..2],
     );
     for flag in [
         "--queue",
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn an_unknown_flag_is_refused() {
-    assert_eq!(faults(&["--no-such"], &SOUND).len(), 1);
-    assert_eq!(faults(&["stray"], &SOUND), ["\"stray\" is no flag"]);
+fn an_unknown_flag_is_rejected() {
+    assert_eq!(faults(&["--no-such"], &VALID).len(), 1);
+    assert_eq!(faults(&["stray"], &VALID), ["\"stray\" is not a flag"]);
 }
 
 #[test]
