--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,12 +1,12 @@
 //! The administration API.
 
-use crate::answer::error_response;
 use crate::auth::{self, Operator};
 use crate::caller::{healthz, readyz, WorkerState};
 use crate::core::Core;
 use crate::dump;
 use crate::emit::emit;
 use crate::member_actor::{send_heartbeat, Peers};
+use crate::response::error_response;
 use actix_web::web::{Data, Json, ServiceConfig};
 use actix_web::{web, HttpRequest, HttpResponse};
 use serde::Deserialize;
@@ -114,30 +114,32 @@
 ) -> Result<HttpResponse> {
     let who = auth::operator(core, request)?;
     let body = body.map_err(|e| Error::new(ErrorKind::BadRequest, e.to_string()))?;
-    let asked = body.into_inner();
-    if !who.role.may_change(asked.op.org()) {
+    let requested = body.into_inner();
+    if !who.role.may_change(requested.op.org()) {
         return Err(Error::new(
             ErrorKind::Forbidden,
             "this role may not make the change",
         ));
     }
-    let object = asked.op.object();
+    let object = requested.op.object();
     let change = Change {
-        id: asked.id.clone(),
+        id: requested.id.clone(),
         by: who.name.clone(),
-        base: asked.base,
-        op: asked.op,
+        base: requested.base,
+        op: requested.op,
     };
     let verdict = submit(core, change).await?;
-    let from = asked.base.map_or("nothing".to_owned(), |b| b.to_string());
+    let from = requested
+        .base
+        .map_or("nothing".to_owned(), |b| b.to_string());
     let detail = format!(
         "{object} by {} from version {from}, change {}",
-        who.name, asked.id
+        who.name, requested.id
     );
     match verdict {
         Verdict::Accepted(offset) => {
             emit(LogEvent::ChangeAccepted, &format!("{detail}, at {offset}"));
-            let behind = wait_in_force(core, offset, asked.wait_ms).await;
+            let behind = wait_in_force(core, offset, requested.wait_ms).await;
             Ok(HttpResponse::Ok().json(json!({
                 "accepted_at": offset,
                 "object": object,
@@ -190,9 +192,9 @@
             return behind.iter().map(|m| m.id.instance.to_string()).collect();
         }
         let message = core.members().begin_round();
-        let asked = behind.iter().take(MAX_CONCURRENT_CALLS);
-        let asked = asked.filter_map(|m| Some((&m.peer, peers.client(&m.peer)?)));
-        let calls = asked.map(|(to, client)| send_heartbeat(core, to, client, message.clone()));
+        let targets = behind.iter().take(MAX_CONCURRENT_CALLS);
+        let targets = targets.filter_map(|m| Some((&m.peer, peers.client(&m.peer)?)));
+        let calls = targets.map(|(to, client)| send_heartbeat(core, to, client, message.clone()));
         futures_util::future::join_all(calls).await;
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -1,11 +1,11 @@
 //! Calls to plain services.
 
-use crate::answer::{error_response, mark};
 use crate::auth;
 use crate::caller::{read_body, WorkerState};
 use crate::core::{Core, InFlight};
-use crate::drive::{limits, superseded};
+use crate::generation::{limits, superseded};
 use crate::keyed;
+use crate::response::{add_headers, error_response};
 use actix_web::http::StatusCode;
 use actix_web::web::{Data, Path, Payload};
 use actix_web::{HttpRequest, HttpResponse};
@@ -112,7 +112,7 @@
 
 /// Makes a call without a key. It is retried only if the service allows that.
 async fn run(local: &WorkerState, job: &Job) -> Result<HttpResponse> {
-    let mut permit = Permit::ask(&local.core, job);
+    let mut permit = Permit::request(&local.core, job);
     loop {
         let (attempt, upstream) = permit.granted().await?;
         let sent = send(&local.core, &*local.services, job, &upstream);
@@ -121,10 +121,10 @@
             () = superseded(&mut permit.actions) => continue,
         };
         match sent {
-            Ok(answer) => {
+            Ok(response) => {
                 permit.end(attempt, AttemptEnd::Whole);
                 local.core.metrics.count_request("service", "ok");
-                return Ok(answer_response(&answer, job.id));
+                return Ok(caller_response(&response, job.id));
             }
             Err(SendError::NotSent) => permit.end(attempt, AttemptEnd::NotSent),
             Err(SendError::Refused) => permit.end(attempt, AttemptEnd::Refused),
@@ -152,13 +152,13 @@
 }
 
 /// Converts a service's response to the response for the caller.
-fn answer_response(answer: &ServiceResponse, id: RequestId) -> HttpResponse {
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
+fn caller_response(received: &ServiceResponse, id: RequestId) -> HttpResponse {
+    let status = StatusCode::from_u16(received.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
-    mark(&mut response, Outcome::Run, id);
+    add_headers(&mut response, Outcome::Run, id);
     response
-        .content_type(answer.mime.clone())
-        .body(answer.body.clone())
+        .content_type(received.mime.clone())
+        .body(received.body.clone())
 }
 
 /// A request's registration at the router, released when dropped.
@@ -171,11 +171,11 @@
 }
 
 impl Permit {
-    pub(crate) fn ask(core: &Arc<Core>, job: &Job) -> Self {
+    pub(crate) fn request(core: &Arc<Core>, job: &Job) -> Self {
         let tenant = &job.tenant;
         let id = job.id;
         let actions = core.register(id);
-        let ask = RouteRequest {
+        let request = RouteRequest {
             id,
             org: tenant.org.clone(),
             route: Route::Service(job.service.clone()),
@@ -195,9 +195,9 @@
             id,
             actions,
             open: true,
-            _in_flight: core.enter(),
+            _in_flight: core.track_request(),
         };
-        core.route(RouteEvent::Arrive(Box::new(ask)));
+        core.route(RouteEvent::Arrive(Box::new(request)));
         permit
     }
 
--- a/crates/daemon/src/caller.rs
+++ b/crates/daemon/src/caller.rs
@@ -1,11 +1,11 @@
 //! The callers' side of the HTTP server.
 
-use crate::answer::{error_body, error_response, mark};
 use crate::auth;
 use crate::call;
 use crate::completion::{Completion, Style};
 use crate::core::Core;
-use crate::drive::{CompletionEvent, GenerationTask};
+use crate::generation::{CompletionEvent, GenerationTask};
+use crate::response::{add_headers, error_body, error_response};
 use actix_web::web::{Bytes, Data, Payload, ServiceConfig};
 use actix_web::{web, HttpRequest, HttpResponse};
 use futures_util::{stream, StreamExt};
@@ -131,7 +131,7 @@
             CompletionEvent::Token(token) => text.push_str(&token),
             CompletionEvent::End { total } => {
                 let mut response = HttpResponse::Ok();
-                mark(&mut response, Outcome::Run, id);
+                add_headers(&mut response, Outcome::Run, id);
                 return Ok(response.json(completion.complete_response(id, &text, total)));
             }
             CompletionEvent::Fail(error) => return Err(error),
@@ -150,7 +150,7 @@
         out => out,
     };
     let mut response = HttpResponse::Ok();
-    response.insert_header((crate::answer::REQUEST, id.to_string()));
+    response.insert_header((crate::response::REQUEST_HEADER, id.to_string()));
     response.content_type("text/event-stream");
     let writer = EventWriter {
         completion,
--- a/crates/daemon/src/completion.rs
+++ b/crates/daemon/src/completion.rs
@@ -127,9 +127,9 @@
                 json!({"index": 0, "text": text, "finish_reason": reason}),
             ),
         };
-        let mut answer = self.envelope(id, object, &choice);
-        answer["usage"] = self.usage(total);
-        answer
+        let mut response = self.envelope(id, object, &choice);
+        response["usage"] = self.usage(total);
+        response
     }
 
     fn chunk_object(&self) -> &'static str {
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -198,7 +198,7 @@
     }
 
     /// Counts a request as in flight until the returned guard is dropped.
-    pub(crate) fn enter(self: &Arc<Self>) -> InFlight {
+    pub(crate) fn track_request(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(self))
     }
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -29,14 +29,17 @@
         self.entries.get(upstream).map(|e| e.address.clone())
     }
 
-    /// Returns the ready item of an engine that serves the wanted one: the wanted version if the
-    /// engine holds it, else the newest.
-    pub(crate) fn item_on(&self, upstream: &Upstream, wanted: &Item) -> Option<Item> {
+    /// Returns the ready item of an engine that serves the requested one: the requested version
+    /// if the engine holds it, else the newest.
+    pub(crate) fn item_on(&self, upstream: &Upstream, requested: &Item) -> Option<Item> {
         let report = self.entries.get(upstream)?.report.as_ref()?;
-        if report.holds(wanted) {
-            return Some(wanted.clone());
+        if report.holds(requested) {
+            return Some(requested.clone());
         }
-        let serving = report.resident.iter().filter(|r| r.item.serves_as(wanted));
+        let serving = report
+            .resident
+            .iter()
+            .filter(|r| r.item.serves_as(requested));
         serving.map(|r| r.item.clone()).max()
     }
 }
--- a/crates/daemon/src/forward.rs
+++ b/crates/daemon/src/forward.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// The header of a forwarded call, which prevents it from being forwarded again.
-const FORWARDED: &str = "x-shaleline-forwarded";
+const FORWARDED_HEADER: &str = "x-shaleline-forwarded";
 
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Returns whether another daemon forwarded the call.
 pub(crate) fn is_forwarded(request: &HttpRequest) -> bool {
-    request.headers().contains_key(FORWARDED)
+    request.headers().contains_key(FORWARDED_HEADER)
 }
 
 /// Forwards the call. Returns `None` if no complete response was received, or the owner is
@@ -37,11 +37,14 @@
             sent = sent.insert_header((name, value.as_bytes()));
         }
     }
-    sent = sent.insert_header((FORWARDED, "1"));
-    let mut answer = sent.send_body(job.call.body.clone()).await.ok()?;
-    let status = answer.status().as_u16();
-    let body = answer.body().limit(MAX_BODY_BYTES).await.ok()?;
-    let unavailable = status == 503 && !answer.headers().contains_key(crate::answer::OUTCOME);
+    sent = sent.insert_header((FORWARDED_HEADER, "1"));
+    let mut received = sent.send_body(job.call.body.clone()).await.ok()?;
+    let status = received.status().as_u16();
+    let body = received.body().limit(MAX_BODY_BYTES).await.ok()?;
+    let unavailable = status == 503
+        && !received
+            .headers()
+            .contains_key(crate::response::OUTCOME_HEADER);
     let leaving = body.windows(LEAVING.len()).any(|w| w == LEAVING) && status == 503;
     if unavailable || leaving {
         return None;
@@ -49,15 +52,15 @@
     let status = actix_web::http::StatusCode::from_u16(status).ok()?;
     let mut response = HttpResponse::build(status);
     let forwarded = [
-        crate::answer::OUTCOME,
-        crate::answer::REQUEST,
+        crate::response::OUTCOME_HEADER,
+        crate::response::REQUEST_HEADER,
         "x-shaleline-kept",
         "retry-after",
         "retry-after-ms",
         "content-type",
     ];
     for name in forwarded {
-        if let Some(value) = answer.headers().get(name) {
+        if let Some(value) = received.headers().get(name) {
             response.insert_header((name, value.as_bytes()));
         }
     }
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/generation.rs
@@ -91,7 +91,7 @@
         let (out, events) = mpsc::unbounded_channel();
         let now = core.now();
         let salt = tenant.org.as_str();
-        let ask = RouteRequest {
+        let request = RouteRequest {
             id,
             org: tenant.org.clone(),
             route: Route::Model {
@@ -110,14 +110,14 @@
             identity: None,
         };
         core.demand()
-            .record(&completion.item.model, ask.cost as f64, now);
+            .record(&completion.item.model, request.cost as f64, now);
         let actions = core.register(id);
         let drive = Self {
             core: Arc::clone(core),
             engines: Rc::clone(engines),
             completion,
             id,
-            blocks: ask.prefix.clone(),
+            blocks: request.prefix.clone(),
             priority: tenant.priority,
             arrived: now,
             position: 0,
@@ -126,11 +126,11 @@
                 core: Arc::clone(core),
                 id,
                 ended: false,
-                _in_flight: core.enter(),
+                _in_flight: core.track_request(),
             },
             out,
         };
-        core.route(RouteEvent::Arrive(Box::new(ask)));
+        core.route(RouteEvent::Arrive(Box::new(request)));
         actix_rt::spawn(drive.run(actions));
         events
     }
--- a/crates/daemon/src/keyed.rs
+++ b/crates/daemon/src/keyed.rs
@@ -3,13 +3,13 @@
 //! A call continues after its caller disconnects: once a key is begun, its end must be recorded,
 //! so that the caller's retry gets the response.
 
-use crate::answer::mark;
 use crate::call::{send, Job, Permit};
 use crate::caller::WorkerState;
 use crate::core::Core;
 use crate::emit::emit;
 use crate::forward;
 use crate::journal::Journal;
+use crate::response::add_headers;
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse};
 use shaleline_border::{SendError, ServiceResponse, Services};
@@ -74,7 +74,7 @@
 fn response(answer: &KeptAnswer, kept: bool, id: RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
-    mark(&mut response, Outcome::Run, id);
+    add_headers(&mut response, Outcome::Run, id);
     response.insert_header(("x-shaleline-kept", kept.to_string()));
     response.content_type(answer.mime.clone());
     match &answer.body {
@@ -94,7 +94,7 @@
 
 type Ended = Result<(KeptAnswer, bool)>;
 
-/// A send that the router has granted and the journal has not yet granted.
+/// A send that the router has granted and the journal has not yet allowed.
 struct GrantedSend {
     permit: Permit,
     number: u32,
@@ -143,7 +143,7 @@
         if self.core.is_log_unavailable() {
             return Err(ErrorKind::LogUnavailable.into());
         }
-        let mut permit = Permit::ask(&self.core, &self.job);
+        let mut permit = Permit::request(&self.core, &self.job);
         let (number, upstream) = permit.granted().await?;
         let granted = GrantedSend {
             permit,
@@ -247,7 +247,7 @@
     }
 
     async fn acquire(&self) -> Result<GrantedSend> {
-        let mut permit = Permit::ask(&self.core, &self.job);
+        let mut permit = Permit::request(&self.core, &self.job);
         let (number, upstream) = permit.granted().await?;
         Ok(GrantedSend {
             permit,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Daemon::start`] starts a daemon from [`Settings`]. Its parts:
 //!
 //! * [`Core`] is the shared state: router, journals, membership, configuration view.
-//! * The caller's side (`caller`, `completion`, `drive`, `call`, `keyed`) forwards requests
+//! * The caller's side (`caller`, `completion`, `generation`, `call`, `keyed`) forwards requests
 //!   to upstreams and returns their responses.
 //! * The operator's side (`admin`, `dump`) accepts changes and shows state.
 //! * Actors run the background work: [`log_actor`](crate) follows the log's streams, others
@@ -13,7 +13,6 @@
 //! and threads. `docs/ARCHITECTURE.md` describes the path of a request, a change and an order.
 
 mod admin;
-mod answer;
 mod auth;
 mod call;
 mod caller;
@@ -21,11 +20,11 @@
 mod completion;
 mod core;
 mod directory;
-mod drive;
 mod dump;
 mod emit;
 mod flag;
 mod forward;
+mod generation;
 mod guarded;
 mod journal;
 mod keyed;
@@ -34,6 +33,7 @@
 mod metrics;
 mod owner_actor;
 mod peer_server;
+mod response;
 mod settings;
 mod snapshot_actor;
 mod start;
--- a/crates/daemon/src/log_actor.rs
+++ b/crates/daemon/src/log_actor.rs
@@ -20,7 +20,7 @@
 /// Selects one journal of the core.
 pub(crate) type Selector<M> = Rc<dyn Fn(&Core) -> &Journal<M>>;
 
-/// The actor of one stream.
+/// The actor that appends to and reads one stream.
 pub(crate) struct LogActor<M: StateMachine + 'static> {
     core: Arc<Core>,
     log: Rc<dyn LogService>,
--- a/crates/daemon/src/member_actor.rs
+++ b/crates/daemon/src/member_actor.rs
@@ -27,7 +27,7 @@
 /// The interval of demand reports to the cell's owner, in rounds.
 const DEMAND_INTERVAL_ROUNDS: u64 = 3;
 
-/// The actor of membership.
+/// The actor that exchanges heartbeats.
 pub(crate) struct MemberActor {
     pub(crate) core: Arc<Core>,
     pub(crate) list: Rc<dyn InstanceList>,
--- a/crates/daemon/src/owner_actor.rs
+++ b/crates/daemon/src/owner_actor.rs
@@ -32,7 +32,7 @@
 /// The time without a report after which an engine gets no loads.
 const REPORT_TIMEOUT_MS: u64 = 2_000;
 
-/// The actor of ownership.
+/// The actor that acquires the cell's lease and acts as its owner.
 pub(crate) struct OwnerActor {
     core: Arc<Core>,
     engines: Rc<dyn Engines>,
--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/response.rs
@@ -6,13 +6,13 @@
 use shaleline_types::{Error, Outcome, RequestId};
 
 /// The header that reports whether the request ran.
-pub(crate) const OUTCOME: &str = "x-shaleline-outcome";
+pub(crate) const OUTCOME_HEADER: &str = "x-shaleline-outcome";
 
 /// The header with the request's id, for support.
-pub(crate) const REQUEST: &str = "x-shaleline-request";
+pub(crate) const REQUEST_HEADER: &str = "x-shaleline-request";
 
 /// The header with the retry-after time in milliseconds; the standard header has seconds.
-const RETRY_MS: &str = "retry-after-ms";
+const RETRY_AFTER_MS_HEADER: &str = "retry-after-ms";
 
 /// Returns the response body for an error.
 pub(crate) fn error_body(error: &Error, id: RequestId) -> Value {
@@ -32,16 +32,16 @@
     let answer = error.kind().answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = HttpResponse::build(status);
-    mark(&mut response, answer.outcome, id);
+    add_headers(&mut response, answer.outcome, id);
     if let Some(after) = error.retry_after() {
         response.insert_header(("retry-after", after.0.div_ceil(1_000).to_string()));
-        response.insert_header((RETRY_MS, after.0.to_string()));
+        response.insert_header((RETRY_AFTER_MS_HEADER, after.0.to_string()));
     }
     response.json(error_body(error, id))
 }
 
 /// Adds the headers of every response.
-pub(crate) fn mark(response: &mut HttpResponseBuilder, outcome: Outcome, id: RequestId) {
-    response.insert_header((OUTCOME, outcome.as_str()));
-    response.insert_header((REQUEST, id.to_string()));
+pub(crate) fn add_headers(response: &mut HttpResponseBuilder, outcome: Outcome, id: RequestId) {
+    response.insert_header((OUTCOME_HEADER, outcome.as_str()));
+    response.insert_header((REQUEST_HEADER, id.to_string()));
 }
--- a/crates/daemon/src/upstream_actor.rs
+++ b/crates/daemon/src/upstream_actor.rs
@@ -19,7 +19,7 @@
 /// The time without a report after which an upstream is removed from routing.
 const REPORT_TIMEOUT_MS: u64 = 3_000;
 
-/// The actor of upstreams.
+/// The actor that polls the instance list and the upstreams.
 pub(crate) struct UpstreamActor {
     pub(crate) core: Arc<Core>,
     pub(crate) list: Rc<dyn InstanceList>,
