--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -1,24 +1,24 @@
 //! Calls to plain services.
 
-use crate::answer::{error_response, mark};
 use crate::auth;
-use crate::caller::{read_body, Local};
+use crate::caller::{read_body, WorkerState};
 use crate::core::{Core, InFlight};
-use crate::drive::{limits, superseded};
+use crate::generation::{limits, superseded};
 use crate::keyed;
+use crate::response::{add_headers, error_response};
 use actix_web::http::StatusCode;
 use actix_web::web::{Data, Path, Payload};
 use actix_web::{HttpRequest, HttpResponse};
 use serde::Deserialize;
-use shaleline_border::{SendError, ServiceAnswer, ServiceCall, Services};
+use shaleline_border::{SendError, ServiceCall, ServiceResponse, Services};
 use shaleline_config::Tenant;
 use shaleline_route::{AttemptEnd, RequestPolicy, Route, RouteAction, RouteEvent, RouteRequest};
 use shaleline_types::{Error, ErrorKind, Millis, Outcome, RequestId, Result, Service, Upstream};
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// The longest key that a caller may use.
-const MOST_KEY: usize = 256;
+/// The maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
 #[derive(Deserialize)]
 pub(crate) struct ServicePath {
@@ -27,9 +27,9 @@
     tail: String,
 }
 
-/// Answers `/v1/services/NAME/...`.
+/// Handles `/v1/services/NAME/...`.
 pub(crate) async fn service(
-    local: Data<Local>,
+    local: Data<WorkerState>,
     request: HttpRequest,
     path: Path<ServicePath>,
     payload: Payload,
@@ -46,7 +46,7 @@
 }
 
 async fn try_service(
-    local: &Local,
+    local: &WorkerState,
     request: &HttpRequest,
     path: &ServicePath,
     payload: Payload,
@@ -80,9 +80,9 @@
         id,
     };
     match &job.call.key {
-        Some(key) if key.is_empty() || key.len() > MOST_KEY => Err(Error::new(
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => Err(Error::new(
             ErrorKind::BadRequest,
-            format!("an idempotency key has 1 to {MOST_KEY} characters"),
+            format!("an idempotency key has 1 to {MAX_KEY_BYTES} characters"),
         )),
         Some(_) => keyed::run(local, request, &job).await,
         None => run(local, &job).await,
@@ -101,7 +101,7 @@
     value.to_str().ok().map(str::to_owned)
 }
 
-/// A checked call.
+/// A validated call.
 pub(crate) struct Job {
     pub(crate) tenant: Arc<Tenant>,
     pub(crate) service: Service,
@@ -110,9 +110,9 @@
     pub(crate) id: RequestId,
 }
 
-/// Makes a call without a key. It is repeated only where the service allows that.
-async fn run(local: &Local, job: &Job) -> Result<HttpResponse> {
-    let mut permit = Permit::ask(&local.core, job);
+/// Makes a call without a key. It is retried only if the service allows that.
+async fn run(local: &WorkerState, job: &Job) -> Result<HttpResponse> {
+    let mut permit = Permit::request(&local.core, job);
     loop {
         let (attempt, upstream) = permit.granted().await?;
         let sent = send(&local.core, &*local.services, job, &upstream);
@@ -121,10 +121,10 @@
             () = superseded(&mut permit.actions) => continue,
         };
         match sent {
-            Ok(answer) => {
+            Ok(response) => {
                 permit.end(attempt, AttemptEnd::Whole);
                 local.core.metrics.count_request("service", "ok");
-                return Ok(answer_response(&answer, job.id));
+                return Ok(caller_response(&response, job.id));
             }
             Err(SendError::NotSent) => permit.end(attempt, AttemptEnd::NotSent),
             Err(SendError::Refused) => permit.end(attempt, AttemptEnd::Refused),
@@ -139,7 +139,7 @@
     services: &dyn Services,
     job: &Job,
     upstream: &Upstream,
-) -> std::result::Result<ServiceAnswer, SendError> {
+) -> std::result::Result<ServiceResponse, SendError> {
     let address = core
         .directory
         .read()
@@ -151,17 +151,17 @@
     services.call(&address, &job.call).await
 }
 
-/// The answer of a service as the caller gets it.
-fn answer_response(answer: &ServiceAnswer, id: RequestId) -> HttpResponse {
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
+/// Converts a service's response to the response for the caller.
+fn caller_response(received: &ServiceResponse, id: RequestId) -> HttpResponse {
+    let status = StatusCode::from_u16(received.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
-    mark(&mut response, Outcome::Run, id);
+    add_headers(&mut response, Outcome::Run, id);
     response
-        .content_type(answer.mime.clone())
-        .body(answer.body.clone())
+        .content_type(received.mime.clone())
+        .body(received.body.clone())
 }
 
-/// A request's place in the router, given back when dropped.
+/// A request's registration at the router, released when dropped.
 pub(crate) struct Permit {
     core: Arc<Core>,
     id: RequestId,
@@ -171,11 +171,11 @@
 }
 
 impl Permit {
-    pub(crate) fn ask(core: &Arc<Core>, job: &Job) -> Self {
+    pub(crate) fn request(core: &Arc<Core>, job: &Job) -> Self {
         let tenant = &job.tenant;
         let id = job.id;
         let actions = core.register(id);
-        let ask = RouteRequest {
+        let request = RouteRequest {
             id,
             org: tenant.org.clone(),
             route: Route::Service(job.service.clone()),
@@ -195,9 +195,9 @@
             id,
             actions,
             open: true,
-            _in_flight: core.enter(),
+            _in_flight: core.track_request(),
         };
-        core.route(RouteEvent::Arrive(Box::new(ask)));
+        core.route(RouteEvent::Arrive(Box::new(request)));
         permit
     }
 
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where upstreams answer and what they hold, from the list and the reports.
+//! The addresses of upstreams and the items they hold, from the instance list and the reports.
 
 use shaleline_border::InstanceKind;
 use shaleline_place::{EngineReport, Item};
@@ -12,9 +12,10 @@
     pub(crate) kind: InstanceKind,
     pub(crate) centre: DataCentre,
     pub(crate) service: Option<String>,
-    /// The last report, and when it came.
+    /// The last report.
     pub(crate) report: Option<EngineReport>,
-    pub(crate) heard: Option<Millis>,
+    /// The time of the last report.
+    pub(crate) reported: Option<Millis>,
 }
 
 /// All upstreams by name.
@@ -28,14 +29,17 @@
         self.entries.get(upstream).map(|e| e.address.clone())
     }
 
-    /// The version of a model, or of an adapter on top, that an engine holds ready; the
-    /// wanted one if it does.
-    pub(crate) fn item_on(&self, upstream: &Upstream, wanted: &Item) -> Option<Item> {
+    /// Returns the ready item of an engine that serves the requested one: the requested version
+    /// if the engine holds it, else the newest.
+    pub(crate) fn item_on(&self, upstream: &Upstream, requested: &Item) -> Option<Item> {
         let report = self.entries.get(upstream)?.report.as_ref()?;
-        if report.holds(wanted) {
-            return Some(wanted.clone());
+        if report.holds(requested) {
+            return Some(requested.clone());
         }
-        let serving = report.resident.iter().filter(|r| r.item.serves_as(wanted));
+        let serving = report
+            .resident
+            .iter()
+            .filter(|r| r.item.serves_as(requested));
         serving.map(|r| r.item.clone()).max()
     }
 }
--- a/crates/gateway/src/crash_probe.rs
+++ b/crates/gateway/src/crash_probe.rs
@@ -6,7 +6,7 @@
 
 use crate::journal::emit;
 use crate::state::Gateway;
-use shaleline_edge::Reach;
+use shaleline_edge::ProbeOutcome;
 use shaleline_route::AttemptNumber;
 use shaleline_types::{Incarnation, IncarnationTag, LogEvent, Millis, Upstream};
 use std::collections::HashMap;
@@ -25,7 +25,7 @@
 const PROBE_VALID_MS: u64 = 300;
 
 /// The result of a probe, which several attempts may wait for.
-type ProbeResult = Rc<OnceCell<Reach>>;
+type ProbeResult = Rc<OnceCell<ProbeOutcome>>;
 
 /// The recent probes of upstreams, each with its time.
 #[derive(Debug, Default)]
@@ -87,20 +87,20 @@
         };
         let seen = self.crash_probes.borrow_mut().probe(sent.start, self.now());
         let reach = seen.get_or_init(|| async {
-            let mut reach = Reach::Silent;
+            let mut reach = ProbeOutcome::Unreachable;
             for limit in PROBE_TIMEOUTS {
-                if reach == Reach::Silent {
-                    reach = self.pool.reach(&target, limit).await;
+                if reach == ProbeOutcome::Unreachable {
+                    reach = self.pool.probe(&target, limit).await;
                 }
             }
             self.log_crash(sent, reach);
             reach
         });
-        *reach.await == Reach::Refused
+        *reach.await == ProbeOutcome::Refused
     }
 
-    fn log_crash(&self, sent: &SentAttempt, reach: Reach) {
-        if reach != Reach::Refused {
+    fn log_crash(&self, sent: &SentAttempt, reach: ProbeOutcome) {
+        if reach != ProbeOutcome::Refused {
             return;
         }
         let detail = format!("upstream={} start={}", sent.upstream, sent.start);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -20,7 +20,7 @@
 use eyre::Result;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shaleline_edge::{Clock, Gate, Pool, PoolSettings, Target};
+use shaleline_edge::{Clock, ListenerControl, Pool, PoolSettings, Target};
 use shaleline_fleet::{
     Demand, Fleet, HeldSource, LastOrders, PlannerLease, PlannerLeaseSettings, UnmetDemand,
 };
@@ -75,7 +75,7 @@
     pub(crate) codec: Box<dyn Codec>,
     pub(crate) store: Box<dyn Store>,
     pub(crate) pool: Pool,
-    pub(crate) gate: Gate,
+    pub(crate) gate: ListenerControl,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) log_budget: LineLimiter,
@@ -184,9 +184,9 @@
         };
         let membership = Membership::new(me.clone());
         let pool = PoolSettings {
-            connect: CONNECT_TIMEOUT,
-            dead: DEAD_TIMEOUT,
-            most: DEFAULT_CONNECTIONS,
+            connect_timeout: CONNECT_TIMEOUT,
+            unacked_timeout: DEAD_TIMEOUT,
+            max_connections: DEFAULT_CONNECTIONS,
         };
         let router = RouterSettings {
             token_ms: settings.policy.token_ms,
@@ -208,7 +208,7 @@
             codec: platform.codec,
             store: platform.store,
             pool: Pool::with_clock(pool, clock.clone()),
-            gate: Gate::with_clock(DEFAULT_IDLE, DEFAULT_HEAD_BYTES, clock.clone()),
+            gate: ListenerControl::with_clock(DEFAULT_IDLE, DEFAULT_HEAD_BYTES, clock.clone()),
             clock,
             metrics: Metrics::new()?,
             log_budget: LineLimiter::new(now),
@@ -302,7 +302,7 @@
             Change::Restarted(name) => {
                 emit(LogEvent::UpstreamRestarted, &format!("upstream={name}"));
                 if let Some(target) = self.target(&name) {
-                    self.pool.forget(&target);
+                    self.pool.close_idle(&target);
                 }
                 self.route(RouteEvent::Restarted(name.clone()));
                 self.apply_entry(&name);
--- a/crates/gateway/tests/unit/crashes/cluster.rs
+++ b/crates/gateway/tests/unit/crashes/cluster.rs
@@ -25,7 +25,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use servers::Server;
-use shaleline_edge::{Clock, Time};
+use shaleline_edge::{Clock, TimeSource};
 use shaleline_route::{RouteAction, Tolerance, MAX_CRASHES};
 use shaleline_types::{DataCentre, ErrorKind, Identity, Instance, Millis, Service, Upstream};
 use std::collections::BTreeMap;
@@ -199,7 +199,7 @@
     /// Creates daemons in three data centres and `servers` upstreams of one service.
     pub fn new(daemons: usize, servers: usize, seed: u64) -> Self {
         let manual_clock = Rc::new(ManualClock::default());
-        let time: Rc<dyn Time> = manual_clock.clone();
+        let time: Rc<dyn TimeSource> = manual_clock.clone();
         let mut cluster = Self {
             clock: Clock::from_time(time),
             manual_clock,
--- a/crates/gateway/tests/unit/manual_clock.rs
+++ b/crates/gateway/tests/unit/manual_clock.rs
@@ -1,6 +1,6 @@
 //! A clock that a test sets manually.
 
-use shaleline_edge::Time;
+use shaleline_edge::TimeSource;
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct ManualClock(pub Cell<u64>);
 
-impl Time for ManualClock {
+impl TimeSource for ManualClock {
     fn elapsed(&self) -> Duration {
         Duration::from_millis(self.0.get())
     }
--- a/crates/gateway/tests/unit/suspended.rs
+++ b/crates/gateway/tests/unit/suspended.rs
@@ -12,7 +12,7 @@
 use crate::Entry;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
-use shaleline_edge::{Clock, Time};
+use shaleline_edge::{Clock, TimeSource};
 use shaleline_fleet::{PlannerLeaseAction, PlannerLeaseView};
 use shaleline_route::{Limits, RequestPolicy, Route, RouteEvent, RouteRequest};
 use shaleline_types::{DataCentre, Incarnation, Org, RequestId, Service, Upstream};
@@ -31,7 +31,7 @@
 impl Daemon {
     fn start() -> Self {
         let manual_clock = Rc::new(ManualClock::default());
-        let time: Rc<dyn Time> = manual_clock.clone();
+        let time: Rc<dyn TimeSource> = manual_clock.clone();
         let platform = Platform {
             codec: Box::new(null_platform::StubCodec),
             store: Box::new(null_platform::UnavailableStore),
