--- a/crates/gateway/tests/unit/catalogue/cluster.rs
+++ b/crates/gateway/tests/unit/catalogue/cluster.rs
@@ -22,7 +22,7 @@
 use futures_util::FutureExt;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shaleline_edge::{Clock, Time};
+use shaleline_edge::{Clock, TimeSource};
 use shaleline_fleet::{Order, OrderReply};
 use shaleline_types::{DataCentre, Millis, Service, Upstream};
 use std::collections::BTreeMap;
@@ -156,7 +156,7 @@
 impl Cluster {
     pub fn new(size: Size, seed: u64) -> Self {
         let manual_clock = Rc::new(ManualClock::default());
-        let time: Rc<dyn Time> = manual_clock.clone();
+        let time: Rc<dyn TimeSource> = manual_clock.clone();
         let engines = Engines::new(size.engines, size.models, size.adapters, size.load_rate);
         let mut cluster = Self {
             size,
