--- a/crates/faults/src/cell_run.rs
+++ b/crates/faults/src/cell_run.rs
@@ -1,9 +1,9 @@
-//! Ownership, memory and orders: owners die and are paused, orders are lost, late and
-//! doubled, engines start anew.
+//! Cell ownership, the memory ledger and orders: owners fail and are paused, orders are lost,
+//! delayed and duplicated, and engines restart.
 
+use crate::cluster::{Cluster, Event, Retention};
 use crate::history::{is_linearizable, LeaseEvent, LeaseSpec, Operation};
 use crate::tally::{Invariant, Tally};
-use crate::world::{Event, Retention, World};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_lease::{Keeper, KeeperInput, LeaseBody, LeaseVerdict};
@@ -21,17 +21,17 @@
 const ITEMS: u64 = 5;
 const STEPS: u64 = 6_000;
 const MEMORY: Megabytes = Megabytes(100);
-const MOST_CLAIMS: usize = 60;
+const MAX_CLAIMS: usize = 60;
 
-/// What a process does as owner, or to become it.
-struct Desk {
+/// State of a process as the owner or as a candidate.
+struct Controller {
     keeper: Keeper,
     dispatcher: Dispatcher,
     planner: Planner,
     reports: BTreeMap<Upstream, EngineReport>,
 }
 
-impl Desk {
+impl Controller {
     fn new(node: usize, writer: WriterId) -> Self {
         let instance = Instance::from_text(&format!("entry-{node}")).expect("the name is valid");
         Self {
@@ -45,13 +45,14 @@
 
 struct Engine {
     state: EngineState,
-    /// Loads that are through at a step.
+    /// Running loads: the step at which each ends, the incarnation of the engine, the number
+    /// of the order and the item.
     loads: Vec<(u64, u64, Offset, Item)>,
     reported: Vec<EngineReport>,
 }
 
-/// An order on its way.
-struct Flight {
+/// An order that an engine has not yet received.
+struct InFlightOrder {
     due: u64,
     order: Order,
 }
@@ -63,36 +64,36 @@
 }
 
 struct Cell {
-    desks: Vec<Desk>,
+    controllers: Vec<Controller>,
     engines: BTreeMap<Upstream, Engine>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlightOrder>,
     tickets: BTreeMap<(WriterId, Ticket), (CellBody, Option<usize>)>,
     claims: Vec<Claim>,
-    wanted: DesiredItems,
-    reached: BTreeSet<Item>,
+    desired: DesiredItems,
+    reachable: BTreeSet<Item>,
     settling: bool,
-    /// Whether the engines refuse old numbers. Only to those does the network double
-    /// orders: against a copy that it makes itself, nothing protects one that ignores
-    /// numbers (docs/PROOFS.md).
-    checks: bool,
+    /// Whether the engines refuse orders with an outdated number. The network duplicates
+    /// orders only to these engines: nothing protects an engine that ignores the numbers
+    /// from a duplicate made by the network (docs/PROOFS.md).
+    fenced: bool,
 }
 
 pub(crate) fn run(seed: u64, tally: &mut Tally) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world: World<CellMachine> = World::new(NODES, Retention::Covered);
-    let checks = seed % 2 == 0;
+    let mut cluster: Cluster<CellMachine> = Cluster::new(NODES, Retention::Covered);
+    let fenced = seed % 2 == 0;
     let mut cell = Cell {
-        desks: (0..NODES)
-            .map(|i| Desk::new(i, world.nodes[i].writer))
+        controllers: (0..NODES)
+            .map(|i| Controller::new(i, cluster.nodes[i].writer))
             .collect(),
-        engines: (0..ENGINES).map(|i| engine(i, checks, seed)).collect(),
-        flights: Vec::new(),
+        engines: (0..ENGINES).map(|i| engine(i, fenced, seed)).collect(),
+        in_flight: Vec::new(),
         tickets: BTreeMap::new(),
         claims: Vec::new(),
-        wanted: DesiredItems::from_items((0..ITEMS).map(want)),
-        reached: BTreeSet::new(),
+        desired: DesiredItems::from_items((0..ITEMS).map(desired_item)),
+        reachable: BTreeSet::new(),
         settling: false,
-        checks,
+        fenced,
     };
     for step in 0..STEPS {
         tally.next_step();
@@ -100,21 +101,21 @@
             return;
         }
         if step == STEPS * 3 / 4 {
-            world.heal();
+            cluster.heal();
             cell.settling = true;
         }
-        cell.engines_go_on(world.step, &mut rng, tally);
+        cell.step_engines(cluster.step, &mut rng, tally);
         let node = rng.random_range(0..NODES);
-        if world.is_up(node) {
-            cell.work(&mut world, node, &mut rng);
+        if cluster.is_up(node) {
+            cell.step_process(&mut cluster, node, &mut rng);
         }
-        cell.send_orders(world.step, &mut rng, tally);
-        for event in world.step(&mut rng, tally) {
-            cell.on_event(&world, event, tally);
+        cell.send_orders(cluster.step, &mut rng, tally);
+        for event in cluster.step(&mut rng, tally) {
+            cell.on_event(&cluster, event, tally);
         }
-        cell.look(&mut rng, tally);
+        cell.check_engines(&mut rng, tally);
     }
-    cell.conclude(&world, tally);
+    cell.check_final_state(&cluster, tally);
 }
 
 fn name(text: &str) -> Upstream {
@@ -126,7 +127,7 @@
     Item::base(&model, 1)
 }
 
-fn want(number: u64) -> DesiredItem {
+fn desired_item(number: u64) -> DesiredItem {
     DesiredItem {
         item: item(number),
         size: Megabytes(20 + 7 * number),
@@ -157,35 +158,35 @@
 }
 
 impl Cell {
-    /// Orders arrive, loads end, engines start anew and report.
-    fn engines_go_on(&mut self, step: u64, rng: &mut SmallRng, tally: &mut Tally) {
-        let (due, rest): (Vec<Flight>, Vec<Flight>) =
-            self.flights.drain(..).partition(|f| f.due <= step);
-        self.flights = rest;
-        for flight in due {
-            let Some(engine) = self.engines.get_mut(&flight.order.engine) else {
+    /// Delivers orders, ends loads, restarts engines and records their reports.
+    fn step_engines(&mut self, step: u64, rng: &mut SmallRng, tally: &mut Tally) {
+        let (due, later): (Vec<InFlightOrder>, Vec<InFlightOrder>) =
+            self.in_flight.drain(..).partition(|f| f.due <= step);
+        self.in_flight = later;
+        for delivery in due {
+            let Some(engine) = self.engines.get_mut(&delivery.order.engine) else {
                 continue;
             };
-            if let Some((item, _)) = engine.state.take(&flight.order) {
-                let life = engine.state.incarnation();
-                let through = step + rng.random_range(5..120);
+            if let Some((item, _)) = engine.state.take(&delivery.order) {
+                let incarnation = engine.state.incarnation();
+                let done_at = step + rng.random_range(5..120);
                 engine
                     .loads
-                    .push((through, life, flight.order.number, item));
+                    .push((done_at, incarnation, delivery.order.number, item));
             }
         }
         for engine in self.engines.values_mut() {
-            let (ended, rest): (Vec<_>, Vec<_>) =
+            let (ended, later): (Vec<_>, Vec<_>) =
                 engine.loads.drain(..).partition(|(due, ..)| *due <= step);
-            engine.loads = rest;
-            for (_, life, number, item) in ended {
-                engine.state.end_load(life, number, &item);
+            engine.loads = later;
+            for (_, incarnation, number, item) in ended {
+                engine.state.end_load(incarnation, number, &item);
             }
             if !self.settling && rng.random_range(0..4_000) == 0 {
-                tally.fault();
+                tally.count_fault();
                 engine.state.restart();
                 let held = &engine.state;
-                self.reached.retain(|i| held.holds(i));
+                self.reachable.retain(|i| held.holds(i));
             }
             if step % 7 == 0 {
                 if let Some(report) = engine.state.report().engine {
@@ -193,73 +194,80 @@
                 }
             }
         }
-        self.forget_lost();
+        self.forget_lost_items();
     }
 
-    /// What an engine's new life lost is no longer counted as reached unless another
-    /// engine has it.
-    fn forget_lost(&mut self) {
+    /// Forgets the items that were lost in the restart of an engine, unless another engine
+    /// holds them.
+    fn forget_lost_items(&mut self) {
         let engines = &self.engines;
         let held = |i: &Item| engines.values().any(|e| e.state.holds(i));
-        self.reached.retain(|i| held(i));
+        self.reachable.retain(|i| held(i));
     }
 
-    /// One process's turn: a late report, the lease, the dispatcher, a plan.
-    fn work(&mut self, world: &mut World<CellMachine>, node: usize, rng: &mut SmallRng) {
-        self.hear(node, rng);
-        self.keep_lease(world, node, rng);
-        let now = world.now();
-        let n = &world.nodes[node];
+    /// Runs one process: it receives delayed reports, keeps the lease, runs the dispatcher and
+    /// may propose a plan.
+    fn step_process(
+        &mut self,
+        cluster: &mut Cluster<CellMachine>,
+        node: usize,
+        rng: &mut SmallRng,
+    ) {
+        self.receive_reports(node, rng);
+        self.keep_lease(cluster, node, rng);
+        let now = cluster.now();
+        let n = &cluster.nodes[node];
         if n.replica.halt().is_some() {
             return;
         }
         let fence = n.replica.machine().lease().fence_of(n.writer);
-        let desk = &mut self.desks[node];
-        desk.dispatcher.set_fence(fence);
+        let controller = &mut self.controllers[node];
+        controller.dispatcher.set_fence(fence);
         if fence.is_none() {
             return;
         }
-        let mut bodies = desk
-            .dispatcher
-            .records(n.replica.machine(), &desk.reports, now);
+        let mut bodies =
+            controller
+                .dispatcher
+                .records(n.replica.machine(), &controller.reports, now);
         if rng.random_range(0..4) == 0 {
             let steps = self.propose(n.replica.machine(), node, now, rng);
-            bodies.extend(self.desks[node].dispatcher.steps(&steps));
+            bodies.extend(self.controllers[node].dispatcher.steps(&steps));
         }
         for body in bodies {
-            self.submit(world, node, body, None);
+            self.submit(cluster, node, body, None);
         }
     }
 
-    /// A process hears an engine's report, never an older one than before.
-    fn hear(&mut self, node: usize, rng: &mut SmallRng) {
+    /// Receives a report of each engine, never one older than the last.
+    fn receive_reports(&mut self, node: usize, rng: &mut SmallRng) {
         for (name, engine) in &self.engines {
             if engine.reported.is_empty() || rng.random_range(0..3) > 0 {
                 continue;
             }
             let lag = rng.random_range(1..=engine.reported.len().min(5));
             let report = engine.reported[engine.reported.len() - lag].clone();
-            let known = self.desks[node].reports.get(name);
+            let known = self.controllers[node].reports.get(name);
             let newer = known.is_none_or(|k| {
                 let at = |r: &EngineReport| engine.reported.iter().rposition(|o| o == r);
                 at(k) <= at(&report)
             });
             if newer {
-                self.desks[node].reports.insert(name.clone(), report);
+                self.controllers[node].reports.insert(name.clone(), report);
             }
         }
     }
 
-    fn keep_lease(&mut self, world: &mut World<CellMachine>, node: usize, rng: &mut SmallRng) {
-        let now = world.now();
-        let n = &world.nodes[node];
+    fn keep_lease(&mut self, cluster: &mut Cluster<CellMachine>, node: usize, rng: &mut SmallRng) {
+        let now = cluster.now();
+        let n = &cluster.nodes[node];
         if n.replica.halt().is_some() {
             return;
         }
         let lease = n.replica.machine().lease();
         let holder = lease.holder().map(|h| h.writer);
-        let alive = world.nodes.iter().enumerate().any(|(i, o)| {
-            Some(o.writer) == holder && (world.is_up(i) || rng.random_range(0..3) == 0)
+        let alive = cluster.nodes.iter().enumerate().any(|(i, o)| {
+            Some(o.writer) == holder && (cluster.is_up(i) || rng.random_range(0..3) == 0)
         });
         let input = KeeperInput {
             lease,
@@ -267,21 +275,21 @@
             owner_alive: alive,
             stopping: !self.settling && rng.random_range(0..400) == 0,
         };
-        if let Some(body) = self.desks[node].keeper.step(input, now) {
+        if let Some(body) = self.controllers[node].keeper.step(input, now) {
             let claim = matches!(body, LeaseBody::Claim { .. }).then_some(self.claims.len());
             if claim.is_some() {
                 self.claims.push(Claim {
-                    called: world.step,
+                    called: cluster.step,
                     answered: None,
-                    event: LeaseEvent::Void,
+                    event: LeaseEvent::NoEffect,
                 });
             }
-            self.submit(world, node, CellBody::Lease(body), claim);
+            self.submit(cluster, node, CellBody::Lease(body), claim);
         }
     }
 
-    /// Steps of the planner, or any that come to mind: the ledger must refuse what does
-    /// not fit.
+    /// Proposes steps of the planner or a random step, which the ledger must refuse if it
+    /// does not fit.
     fn propose(
         &mut self,
         machine: &CellMachine,
@@ -298,14 +306,14 @@
             let plan = PlanInput {
                 ledgers: machine.engines(),
                 views: &views,
-                desired: &self.wanted,
+                desired: &self.desired,
                 demand: &Demand::default(),
                 load_limit: 4,
             };
-            return self.desks[node].planner.plan(plan, now);
+            return self.controllers[node].planner.plan(plan, now);
         }
         let engine = name(&format!("engine-{}", rng.random_range(0..ENGINES)));
-        let DesiredItem { item, size } = want(rng.random_range(0..ITEMS));
+        let DesiredItem { item, size } = desired_item(rng.random_range(0..ITEMS));
         if rng.random_range(0..2) == 0 {
             return vec![Step::Load { engine, item, size }];
         }
@@ -318,28 +326,28 @@
 
     fn submit(
         &mut self,
-        world: &mut World<CellMachine>,
+        cluster: &mut Cluster<CellMachine>,
         node: usize,
         body: CellBody,
         claim: Option<usize>,
     ) {
-        let n = &mut world.nodes[node];
+        let n = &mut cluster.nodes[node];
         let ticket = n.replica.submit(Priority::Order, body.clone());
         self.tickets.insert((n.writer, ticket), (body, claim));
     }
 
-    /// Orders are lost, late or doubled on their way.
+    /// Sends the pending orders; some are lost, delayed or duplicated.
     fn send_orders(&mut self, step: u64, rng: &mut SmallRng, tally: &mut Tally) {
-        for desk in &mut self.desks {
-            for order in desk.dispatcher.take_orders() {
+        for controller in &mut self.controllers {
+            for order in controller.dispatcher.take_orders() {
                 let copies = match rng.random_range(0..100) {
                     _ if self.settling => 1,
                     0..20 => 0,
-                    20..35 if self.checks => 2,
+                    20..35 if self.fenced => 2,
                     _ => 1,
                 };
                 if copies != 1 {
-                    tally.fault();
+                    tally.count_fault();
                 }
                 for _ in 0..copies {
                     let late = !self.settling && rng.random_range(0..6) == 0;
@@ -348,7 +356,7 @@
                     } else {
                         rng.random_range(0..10)
                     };
-                    self.flights.push(Flight {
+                    self.in_flight.push(InFlightOrder {
                         due: step + delay,
                         order: order.clone(),
                     });
@@ -359,46 +367,46 @@
 
     fn on_event(
         &mut self,
-        world: &World<CellMachine>,
+        cluster: &Cluster<CellMachine>,
         event: Event<CellVerdict>,
         tally: &mut Tally,
     ) {
         match event {
             Event::Done { node, done } => {
-                let n = &world.nodes[node];
+                let n = &cluster.nodes[node];
                 let Some((body, claim)) = self.tickets.remove(&(n.writer, done.ticket)) else {
                     return;
                 };
-                let now = world.now();
+                let now = cluster.now();
                 if let Some(index) = claim {
-                    self.claims[index].answered = Some(world.step);
+                    self.claims[index].answered = Some(cluster.step);
                     if let CellVerdict::Lease(LeaseVerdict::Acquired(fence)) = done.verdict {
                         self.claims[index].event = LeaseEvent::Taken(fence.0 + 1);
                     }
                 }
-                let desk = &mut self.desks[node];
+                let ctrl = &mut self.controllers[node];
                 match done.verdict {
-                    CellVerdict::Lease(verdict) => desk.keeper.on_verdict(verdict, now),
-                    verdict => desk
+                    CellVerdict::Lease(verdict) => ctrl.keeper.on_verdict(verdict, now),
+                    verdict => ctrl
                         .dispatcher
                         .on_verdict(&body, verdict, n.replica.machine(), now),
                 }
             }
             Event::Replaced { node } => {
-                self.desks[node] = Desk::new(node, world.nodes[node].writer);
+                self.controllers[node] = Controller::new(node, cluster.nodes[node].writer);
             }
             Event::Reverted { node } => tally.check(Invariant::Memory, false, || {
-                format!("the ledger of process {node} went back")
+                format!("process {node} reverted to an earlier ledger")
             }),
         }
     }
 
-    /// No engine was ever ordered beyond its memory, and no item lost its last replica
-    /// to an order.
-    fn look(&mut self, rng: &mut SmallRng, tally: &mut Tally) {
+    /// Checks that no order exceeds an engine's memory, and that no order removes the last
+    /// replica of an item.
+    fn check_engines(&mut self, rng: &mut SmallRng, tally: &mut Tally) {
         let refused: u64 = self.engines.values().map(|e| e.state.refused()).sum();
         tally.check(Invariant::Memory, refused == 0, || {
-            format!("{refused} orders would have overfilled an engine")
+            format!("{refused} orders would have exceeded an engine's memory")
         });
         if rng.random_range(0..4) > 0 {
             return;
@@ -406,31 +414,31 @@
         for number in 0..ITEMS {
             let item = item(number);
             let held = self.engines.values().any(|e| e.state.holds(&item));
-            let before = self.reached.contains(&item);
+            let before = self.reachable.contains(&item);
             tally.check(Invariant::Reachable, held || !before, || {
-                format!("{item} is gone")
+                format!("{item} has lost its last replica")
             });
             if held {
-                self.reached.insert(item);
+                self.reachable.insert(item);
             } else {
-                self.reached.remove(&item);
+                self.reachable.remove(&item);
             }
         }
     }
 
-    fn conclude(&self, world: &World<CellMachine>, tally: &mut Tally) {
+    fn check_final_state(&self, cluster: &Cluster<CellMachine>, tally: &mut Tally) {
         for number in 0..ITEMS {
             let item = item(number);
             let held = self.engines.values().any(|e| e.state.serves(&item));
-            let pinned = world.nodes[0].replica.machine().engines().values();
-            let doubt = pinned
+            let ledgers = cluster.nodes[0].replica.machine().engines().values();
+            let unfenced = ledgers
                 .flat_map(|b| b.slots.values())
                 .any(|s| s.unfenced_copies);
-            tally.check(Invariant::Reachable, held || doubt, || {
+            tally.check(Invariant::Reachable, held || unfenced, || {
                 format!("{item} is not reachable after all faults have ended")
             });
         }
-        self.check_claims(world.step, tally);
+        self.check_claims(cluster.step, tally);
     }
 
     fn check_claims(&self, last: u64, tally: &mut Tally) {
@@ -443,10 +451,10 @@
             answered: claim.answered.unwrap_or(last),
             event: claim.event,
         };
-        let operations: Vec<_> = answered.take(MOST_CLAIMS).map(operation).collect();
+        let operations: Vec<_> = answered.take(MAX_CLAIMS).map(operation).collect();
         let holds = is_linearizable::<LeaseSpec>(&operations);
         tally.check(Invariant::Memory, holds, || {
-            "the claims are not linearizable".to_owned()
+            "the claims of the lease are not linearizable".to_owned()
         });
     }
 }
--- a/crates/faults/src/world.rs
+++ b/crates/faults/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Processes that share a log, and what may happen to them and to it.
+//! A simulated cluster: processes that share a log, with injected faults.
 
 use crate::tally::Tally;
 use rand::rngs::SmallRng;
@@ -10,31 +10,31 @@
 use shaleline_standin::MemoryLog;
 use shaleline_types::{Millis, Offset, Stream, WriterId};
 
-/// Milliseconds that pass in a step.
+/// Simulated duration of a step.
 const STEP_MS: u64 = 10;
 
-/// Appends a second that the log accepts and each process may make; high, because the
-/// runs are about order and not about speed.
+/// Append rate limit of the log and of each process, per second; high enough not to limit
+/// the runs, which test ordering and not throughput.
 const RATE: u64 = 100_000;
 
-/// How rude a run is to the log's records.
+/// Which records of the log a run may trim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Retention {
-    /// Records go only once a snapshot covers them.
+    /// Only records that a snapshot covers are trimmed.
     Covered,
-    /// Records go when they go.
-    Rude,
+    /// Any record may be trimmed.
+    Arbitrary,
 }
 
-/// One process.
+/// A simulated process.
 pub(crate) struct Node<M: StateMachine> {
     pub(crate) replica: Replica<M>,
     pub(crate) writer: WriterId,
     budget: AppendBudget,
-    paused: u64,
+    paused_until: u64,
     answer: Option<(u64, AppendOutcome)>,
-    calling: bool,
-    furthest: Offset,
+    appending: bool,
+    highest_next: Offset,
 }
 
 impl<M: StateMachine> Node<M> {
@@ -43,47 +43,47 @@
             replica: Replica::new(writer),
             writer,
             budget: AppendBudget::new(RATE, Millis(0)),
-            paused: 0,
+            paused_until: 0,
             answer: None,
-            calling: false,
-            furthest: Offset(0),
+            appending: false,
+            highest_next: Offset(0),
         }
     }
 }
 
-/// What a step brought about.
+/// An event that a step caused.
 pub(crate) enum Event<V> {
-    /// A process's own record was judged.
+    /// A record that the process submitted was committed.
     Done { node: usize, done: Committed<V> },
     /// A process was replaced by a new one.
     Replaced { node: usize },
-    /// A process applied less than it had before.
+    /// A process has applied fewer records than before.
     Reverted { node: usize },
 }
 
-/// An append that takes effect later, without an answer.
-struct Late {
+/// An append that takes effect later and whose answer is lost.
+struct DelayedAppend {
     due: u64,
     records: Vec<String>,
 }
 
-/// Processes and their log.
-pub(crate) struct World<M: StateMachine> {
+/// The processes and the log that they share.
+pub(crate) struct Cluster<M: StateMachine> {
     pub(crate) nodes: Vec<Node<M>>,
     pub(crate) step: u64,
     log: MemoryLog,
     stream: Stream,
-    snaps: Stream,
+    snapshots: Stream,
     history: Vec<String>,
-    late: Vec<Late>,
-    outage: u64,
+    delayed: Vec<DelayedAppend>,
+    outage_until: u64,
     covered: Offset,
     retention: Retention,
     next_writer: u64,
     healed: bool,
 }
 
-impl<M: StateMachine> World<M> {
+impl<M: StateMachine> Cluster<M> {
     pub(crate) fn new(count: usize, retention: Retention) -> Self {
         let stream = |t: &str| Stream::from_text(t).expect("the name is valid");
         Self {
@@ -93,10 +93,10 @@
             step: 0,
             log: MemoryLog::new(RATE),
             stream: stream("main"),
-            snaps: stream("main.snap"),
+            snapshots: stream("main.snap"),
             history: Vec::new(),
-            late: Vec::new(),
-            outage: 0,
+            delayed: Vec::new(),
+            outage_until: 0,
             covered: Offset(0),
             retention,
             next_writer: count as u64 + 1,
@@ -110,7 +110,7 @@
 
     /// Whether the process runs and is not paused.
     pub(crate) fn is_up(&self, node: usize) -> bool {
-        self.nodes[node].paused <= self.step
+        self.nodes[node].paused_until <= self.step
     }
 
     fn append(&mut self, records: &[String]) -> AppendOutcome {
@@ -124,10 +124,10 @@
         }
     }
 
-    /// One step: something happens to one process or to the log.
+    /// Runs one step: one random action or fault at one process or at the log.
     pub(crate) fn step(&mut self, rng: &mut SmallRng, tally: &mut Tally) -> Vec<Event<M::Verdict>> {
         self.step += 1;
-        self.land_late();
+        self.apply_delayed();
         let mut events = Vec::new();
         let node = rng.random_range(0..self.nodes.len());
         match rng.random_range(0..1_000) {
@@ -137,37 +137,38 @@
             900..940 => self.write_snapshot(node, rng),
             940..960 if !self.healed => self.trim(rng, tally),
             960..968 if !self.healed => {
-                tally.fault();
+                tally.count_fault();
                 self.replace(node);
                 events.push(Event::Replaced { node });
             }
             968..985 if !self.healed => {
-                tally.fault();
-                self.nodes[node].paused = self.step + rng.random_range(10..200);
+                tally.count_fault();
+                self.nodes[node].paused_until = self.step + rng.random_range(10..200);
             }
             985..992 if !self.healed => {
-                tally.fault();
-                self.outage = self.step + rng.random_range(10..150);
+                tally.count_fault();
+                self.outage_until = self.step + rng.random_range(10..150);
             }
             _ => {}
         }
-        self.take_answer(node);
+        self.deliver_answer(node);
         self.collect(node, &mut events);
         events
     }
 
-    fn land_late(&mut self) {
+    fn apply_delayed(&mut self) {
         let step = self.step;
-        let (due, rest): (Vec<Late>, Vec<Late>) = self.late.drain(..).partition(|l| l.due <= step);
-        self.late = rest;
-        for late in due {
-            self.append(&late.records);
+        let (due, later): (Vec<DelayedAppend>, Vec<DelayedAppend>) =
+            self.delayed.drain(..).partition(|l| l.due <= step);
+        self.delayed = later;
+        for delayed in due {
+            self.append(&delayed.records);
         }
     }
 
-    /// Makes the process's next append, and decides what becomes of it and of its answer.
+    /// Makes the process's next append and picks its effect and its answer at random.
     fn try_append(&mut self, node: usize, rng: &mut SmallRng, tally: &mut Tally) {
-        if self.nodes[node].calling {
+        if self.nodes[node].appending {
             return;
         }
         let now = self.now();
@@ -175,15 +176,15 @@
         let Some(batch) = n.replica.next_append(now, now, &mut n.budget) else {
             return;
         };
-        n.calling = true;
-        let out = self.outage > self.step;
-        let dice = if self.healed {
+        n.appending = true;
+        let unavailable = self.outage_until > self.step;
+        let choice = if self.healed {
             0
         } else {
             rng.random_range(0..100)
         };
-        let answer = match dice {
-            _ if out => AppendOutcome::Lost,
+        let answer = match choice {
+            _ if unavailable => AppendOutcome::Lost,
             0..60 => self.append(&batch),
             60..72 => {
                 self.append(&batch);
@@ -191,7 +192,7 @@
             }
             72..80 => AppendOutcome::Lost,
             80..94 => {
-                self.late.push(Late {
+                self.delayed.push(DelayedAppend {
                     due: self.step + rng.random_range(1..300),
                     records: batch,
                 });
@@ -200,95 +201,103 @@
             _ => AppendOutcome::Refused,
         };
         if !matches!(answer, AppendOutcome::At(_)) {
-            tally.fault();
+            tally.count_fault();
         }
         let delay = rng.random_range(0..8);
         self.nodes[node].answer = Some((self.step + delay, answer));
     }
 
-    fn take_answer(&mut self, node: usize) {
+    fn deliver_answer(&mut self, node: usize) {
         let now = self.now();
         let step = self.step;
         let n = &mut self.nodes[node];
         if let Some((due, answer)) = n.answer {
-            if due <= step && n.paused <= step {
+            if due <= step && n.paused_until <= step {
                 n.answer = None;
-                n.calling = false;
+                n.appending = false;
                 n.replica.on_append(now, answer);
             }
         }
     }
 
-    /// Reads some of what is there, not always all.
+    /// Reads a random number of the available records.
     fn read(&mut self, node: usize, rng: &mut SmallRng, events: &mut Vec<Event<M::Verdict>>) {
-        if self.outage > self.step {
+        if self.outage_until > self.step {
             return;
         }
         let from = self.nodes[node].replica.next();
         let mut batch = self.log.read(&self.stream, from);
-        let most = if self.healed {
+        let limit = if self.healed {
             usize::MAX
         } else {
             rng.random_range(1..40)
         };
-        batch.records.truncate(most);
+        batch.records.truncate(limit);
         let result = self.nodes[node].replica.on_read(&batch);
         if let Err(Halt::Gap(_)) = result {
             self.restore(node);
         }
         let n = &mut self.nodes[node];
         let next = n.replica.next();
-        if next < n.furthest {
+        if next < n.highest_next {
             events.push(Event::Reverted { node });
         }
-        n.furthest = next;
+        n.highest_next = next;
     }
 
-    /// Takes the best snapshot that the log has.
+    /// Restores the process from the best snapshot in the log.
     fn restore(&mut self, node: usize) {
-        let batch: ReadBatch = self.log.read(&self.snaps, Offset(0));
+        let batch: ReadBatch = self.log.read(&self.snapshots, Offset(0));
         let records: Vec<StoredRecord> = batch.records;
         if let Some(snapshot) = pick_snapshot(&records) {
             self.nodes[node].replica.restore(&snapshot);
         }
     }
 
-    /// Writes a snapshot, sometimes only part of it. It may be of a lagging process and
-    /// land after a fresher one.
+    /// Writes a snapshot, sometimes only part of it. A lagging process may write one after
+    /// a more recent snapshot of another process.
     fn write_snapshot(&mut self, node: usize, rng: &mut SmallRng) {
         let n = &self.nodes[node];
-        if self.outage > self.step || n.replica.halt().is_some() || n.replica.next() == Offset(0) {
+        if self.outage_until > self.step
+            || n.replica.halt().is_some()
+            || n.replica.next() == Offset(0)
+        {
             return;
         }
         let snapshot = n.replica.to_snapshot();
         let chunks = snapshot.to_chunks();
         let whole = self.healed || rng.random_range(0..5) > 0;
-        let part = if whole {
+        let written = if whole {
             chunks.len()
         } else {
             chunks.len() - 1
         };
         let now = self.now();
-        if self.log.append(&self.snaps, &chunks[..part], now).is_ok() && whole {
+        if self
+            .log
+            .append(&self.snapshots, &chunks[..written], now)
+            .is_ok()
+            && whole
+        {
             self.covered = self.covered.max(snapshot.covers());
         }
-        // A reader that starts now picks among all that were written.
+        // The restore picks among all the snapshots written so far.
         if !self.healed && rng.random_range(0..4) == 0 {
             self.restore(node);
         }
     }
 
     fn trim(&mut self, rng: &mut SmallRng, tally: &mut Tally) {
-        tally.fault();
+        tally.count_fault();
         let tail = self.log.tail(&self.stream);
         let before = match self.retention {
             Retention::Covered => self.covered,
-            Retention::Rude => Offset(rng.random_range(0..=tail.0)),
+            Retention::Arbitrary => Offset(rng.random_range(0..=tail.0)),
         };
         self.log.trim(&self.stream, before);
     }
 
-    /// The process is gone at once; a new one starts from a snapshot and the log.
+    /// Replaces the process by a new one, which starts from a snapshot and the log.
     fn replace(&mut self, node: usize) {
         let writer = WriterId(self.next_writer);
         self.next_writer += 1;
@@ -302,31 +311,32 @@
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults and stops injecting new ones.
     pub(crate) fn heal(&mut self) {
         self.healed = true;
-        self.outage = 0;
+        self.outage_until = 0;
         let step = self.step;
-        for late in &mut self.late {
-            late.due = step;
+        for delayed in &mut self.delayed {
+            delayed.due = step;
         }
         for node in &mut self.nodes {
-            node.paused = 0;
+            node.paused_until = 0;
         }
     }
 
-    /// Whether every process has applied all and has nothing on its way.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether every process that has not halted has applied the whole log and has no
+    /// pending appends.
+    pub(crate) fn is_quiescent(&self) -> bool {
         let tail = self.log.tail(&self.stream);
-        let quiet = |n: &Node<M>| n.replica.next() == tail && n.replica.pending() == 0;
-        self.late.is_empty()
+        let quiescent = |n: &Node<M>| n.replica.next() == tail && n.replica.pending() == 0;
+        self.delayed.is_empty()
             && self
                 .nodes
                 .iter()
-                .all(|n| n.replica.halt().is_some() || quiet(n))
+                .all(|n| n.replica.halt().is_some() || quiescent(n))
     }
 
-    /// A replica that read the whole history, of which nothing was ever dropped.
+    /// Returns a replica that has applied the complete history, including trimmed records.
     pub(crate) fn reference(&self) -> Replica<M> {
         let mut replica = Replica::new(WriterId(u64::MAX));
         let record = |(i, text): (usize, &String)| StoredRecord {
@@ -342,13 +352,13 @@
         replica
     }
 
-    /// The processes that have applied all and whose state differs from the reference's.
+    /// Returns the processes that have not halted and whose state differs from the reference.
     pub(crate) fn diverged(&self) -> Vec<usize> {
         let reference = self.reference();
-        let want = reference.to_snapshot();
+        let expected = reference.to_snapshot();
         let differs = |i: &usize| {
             let n = &self.nodes[*i];
-            n.replica.halt().is_none() && n.replica.to_snapshot() != want
+            n.replica.halt().is_none() && n.replica.to_snapshot() != expected
         };
         (0..self.nodes.len()).filter(differs).collect()
     }
--- a/crates/faults/src/config_run.rs
+++ b/crates/faults/src/config_run.rs
@@ -1,8 +1,9 @@
-//! Configuration: operators race for the same organisations through different daemons.
+//! Configuration: operators concurrently change the same organisations through
+//! different daemons.
 
+use crate::cluster::{Cluster, Event, Retention};
 use crate::history::{is_linearizable, ConfigEvent, ConfigSpec, Operation};
 use crate::tally::{Invariant, Tally};
-use crate::world::{Event, Retention, World};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_config::{
@@ -17,13 +18,13 @@
 const STEPS: u64 = 4_000;
 const SETTLE: u64 = 2_000;
 
-/// The most operations of one object that the checker of histories is given.
-const MOST_OPERATIONS: usize = 60;
+/// Maximum operations of one object that the linearizability checker is given.
+const MAX_OPERATIONS: usize = 60;
 
 type StateMachine = ConfigMachine;
 
-/// A change that an operator asked for.
-struct Asked {
+/// A change that an operator requested.
+struct ChangeCall {
     change: Change,
     called: u64,
     answered: Option<u64>,
@@ -31,17 +32,17 @@
 }
 
 struct Operators {
-    asked: Vec<Asked>,
+    calls: Vec<ChangeCall>,
     tickets: BTreeMap<(WriterId, Ticket), usize>,
-    /// The highest version of each object that each process has shown.
+    /// The highest version of each object in force at each process.
     shown: BTreeMap<(usize, String), Offset>,
 }
 
 pub(crate) fn run(seed: u64, tally: &mut Tally) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world: World<StateMachine> = World::new(NODES, Retention::Covered);
+    let mut cluster: Cluster<StateMachine> = Cluster::new(NODES, Retention::Covered);
     let mut operators = Operators {
-        asked: Vec::new(),
+        calls: Vec::new(),
         tickets: BTreeMap::new(),
         shown: BTreeMap::new(),
     };
@@ -50,7 +51,7 @@
         .enumerate()
     {
         let change = change(&format!("setup-{i}"), None, op);
-        world.nodes[0].replica.submit(Priority::Config, change);
+        cluster.nodes[0].replica.submit(Priority::Config, change);
     }
     for step in 0..STEPS + SETTLE {
         tally.next_step();
@@ -58,22 +59,22 @@
             return;
         }
         if step == STEPS {
-            world.heal();
+            cluster.heal();
         }
         if step < STEPS && rng.random_range(0..25) == 0 {
-            operators.ask(&mut world, &mut rng);
+            operators.submit_change(&mut cluster, &mut rng);
         }
-        for event in world.step(&mut rng, tally) {
-            operators.on_event(&world, event, tally);
+        for event in cluster.step(&mut rng, tally) {
+            operators.on_event(&cluster, event, tally);
         }
         if step % 16 == 0 {
-            operators.look(&world, tally);
+            operators.check_versions(&cluster, tally);
         }
-        if step > STEPS && world.is_quiet() {
+        if step > STEPS && cluster.is_quiescent() {
             break;
         }
     }
-    operators.conclude(&world, tally);
+    operators.check_final_state(&cluster, tally);
 }
 
 fn change(id: &str, base: Option<Offset>, op: Op) -> Change {
@@ -113,45 +114,45 @@
 }
 
 impl Operators {
-    /// An operator changes an organisation as one daemon shows it, or repeats a change
-    /// that had no answer through another daemon.
-    fn ask(&mut self, world: &mut World<StateMachine>, rng: &mut SmallRng) {
+    /// Submits a change that is based on one daemon's state, or repeats an unanswered change
+    /// through a random daemon.
+    fn submit_change(&mut self, cluster: &mut Cluster<StateMachine>, rng: &mut SmallRng) {
         let node = rng.random_range(0..NODES);
-        if !world.is_up(node) {
+        if !cluster.is_up(node) {
             return;
         }
-        let open: Vec<usize> = (0..self.asked.len())
-            .filter(|i| self.asked[*i].verdict.is_none())
+        let unanswered: Vec<usize> = (0..self.calls.len())
+            .filter(|i| self.calls[*i].verdict.is_none())
             .collect();
-        let repeat = !open.is_empty() && rng.random_range(0..4) == 0;
+        let repeat = !unanswered.is_empty() && rng.random_range(0..4) == 0;
         let index = if repeat {
-            open[rng.random_range(0..open.len())]
+            unanswered[rng.random_range(0..unanswered.len())]
         } else {
-            let Some(change) = self.fresh(world, node, rng) else {
+            let Some(change) = self.new_change(cluster, node, rng) else {
                 return;
             };
-            self.asked.push(Asked {
+            self.calls.push(ChangeCall {
                 change,
-                called: world.step,
+                called: cluster.step,
                 answered: None,
                 verdict: None,
             });
-            self.asked.len() - 1
+            self.calls.len() - 1
         };
-        let n = &mut world.nodes[node];
+        let n = &mut cluster.nodes[node];
         let ticket = n
             .replica
-            .submit(Priority::Config, self.asked[index].change.clone());
+            .submit(Priority::Config, self.calls[index].change.clone());
         self.tickets.insert((n.writer, ticket), index);
     }
 
-    fn fresh(
+    fn new_change(
         &self,
-        world: &World<StateMachine>,
+        cluster: &Cluster<StateMachine>,
         node: usize,
         rng: &mut SmallRng,
     ) -> Option<Change> {
-        let machine = world.nodes[node].replica.machine();
+        let machine = cluster.nodes[node].replica.machine();
         if machine.templates().is_empty() {
             return None;
         }
@@ -166,46 +167,51 @@
                 values: BTreeMap::new(),
             })
         };
-        Some(change(&format!("change-{}", self.asked.len()), base, op))
+        Some(change(&format!("change-{}", self.calls.len()), base, op))
     }
 
-    fn on_event(&mut self, world: &World<StateMachine>, event: Event<Verdict>, tally: &mut Tally) {
+    fn on_event(
+        &mut self,
+        cluster: &Cluster<StateMachine>,
+        event: Event<Verdict>,
+        tally: &mut Tally,
+    ) {
         match event {
             Event::Done { node, done } => {
-                let writer = world.nodes[node].writer;
+                let writer = cluster.nodes[node].writer;
                 if let Some(index) = self.tickets.remove(&(writer, done.ticket)) {
-                    self.answer(index, done.verdict, world.step, tally);
+                    self.answer(index, done.verdict, cluster.step, tally);
                 }
             }
             Event::Replaced { node } => self.shown.retain(|(n, _), _| *n != node),
             Event::Reverted { node } => tally.check(Invariant::Config, false, || {
-                format!("the configuration of process {node} went back")
+                format!("process {node} reverted to an earlier configuration")
             }),
         }
     }
 
     fn answer(&mut self, index: usize, verdict: Verdict, step: u64, tally: &mut Tally) {
-        let asked = &mut self.asked[index];
-        if let Some(earlier) = &asked.verdict {
+        let call = &mut self.calls[index];
+        if let Some(earlier) = &call.verdict {
             tally.check(Invariant::Config, *earlier == verdict, || {
-                format!("{}: {earlier:?}, then {verdict:?}", asked.change.id)
+                format!("{}: {earlier:?}, then {verdict:?}", call.change.id)
             });
             return;
         }
-        asked.verdict = Some(verdict);
-        asked.answered = Some(step);
+        call.verdict = Some(verdict);
+        call.answered = Some(step);
     }
 
-    /// Looks at what each process has in force.
-    fn look(&mut self, world: &World<StateMachine>, tally: &mut Tally) {
-        for (i, node) in world.nodes.iter().enumerate() {
+    /// Checks that no version in force at a process goes back.
+    fn check_versions(&mut self, cluster: &Cluster<StateMachine>, tally: &mut Tally) {
+        for (i, node) in cluster.nodes.iter().enumerate() {
             for (object, version) in node.replica.machine().versions() {
                 let shown = self
                     .shown
                     .entry((i, object.clone()))
                     .or_insert(version.version);
-                let forward = version.version >= *shown;
-                tally.check(Invariant::Config, forward, || {
+                let monotonic = version.version >= *shown;
+                tally.check(Invariant::Config, monotonic, || {
                     format!(
                         "process {i}: {object} went from {shown} to {}",
                         version.version
@@ -216,31 +222,31 @@
         }
     }
 
-    fn conclude(&mut self, world: &World<StateMachine>, tally: &mut Tally) {
-        let diverged = world.diverged();
+    fn check_final_state(&mut self, cluster: &Cluster<StateMachine>, tally: &mut Tally) {
+        let diverged = cluster.diverged();
         tally.check(
             Invariant::Config,
-            diverged.is_empty() && world.is_quiet(),
-            || format!("not in force everywhere: processes {diverged:?} differ"),
+            diverged.is_empty() && cluster.is_quiescent(),
+            || format!("not in force on all processes: {diverged:?} differ"),
         );
-        let reference = world.reference();
-        for asked in &mut self.asked {
-            if asked.verdict.is_none() {
-                asked.verdict = reference.machine().verdict_of(&asked.change.id).cloned();
+        let reference = cluster.reference();
+        for call in &mut self.calls {
+            if call.verdict.is_none() {
+                call.verdict = reference.machine().verdict_of(&call.change.id).cloned();
             }
         }
         self.check_winners(tally);
         for number in 0..ORGS {
-            self.check_history(&org_name(number), world.step, tally);
+            self.check_history(&org_name(number), cluster.step, tally);
         }
     }
 
-    /// Of the changes made from one version, one wins at the most.
+    /// Checks that at most one change based on the same version is accepted.
     fn check_winners(&self, tally: &mut Tally) {
         let mut winners: BTreeMap<(String, Option<Offset>), u64> = BTreeMap::new();
-        for asked in &self.asked {
-            if matches!(asked.verdict, Some(Verdict::Accepted(_))) {
-                let key = (asked.change.op.object(), asked.change.base);
+        for call in &self.calls {
+            if matches!(call.verdict, Some(Verdict::Accepted(_))) {
+                let key = (call.change.op.object(), call.change.base);
                 *winners.entry(key).or_default() += 1;
             }
         }
@@ -251,16 +257,16 @@
         }
     }
 
-    /// The changes of one object are linearizable as compare-and-swap.
+    /// Checks that the changes of one object are linearizable as compare-and-swap.
     fn check_history(&self, org: &Org, last: u64, tally: &mut Tally) {
         if !tally.is_clean() {
             return;
         }
         let mut operations = Vec::new();
-        let own = self.asked.iter().filter(|a| a.change.op.org() == Some(org));
-        for asked in own.take(MOST_OPERATIONS) {
-            let base = asked.change.base.map_or(0, |b| b.0 + 1);
-            let event = match &asked.verdict {
+        let changes = self.calls.iter().filter(|a| a.change.op.org() == Some(org));
+        for call in changes.take(MAX_OPERATIONS) {
+            let base = call.change.base.map_or(0, |b| b.0 + 1);
+            let event = match &call.verdict {
                 Some(Verdict::Accepted(at)) => ConfigEvent::Accepted {
                     base,
                     version: at.0 + 1,
@@ -271,8 +277,8 @@
                 _ => continue,
             };
             operations.push(Operation {
-                called: asked.called,
-                answered: asked.answered.unwrap_or(last + 1),
+                called: call.called,
+                answered: call.answered.unwrap_or(last + 1),
                 event,
             });
         }
--- a/crates/faults/src/history.rs
+++ b/crates/faults/src/history.rs
@@ -1,7 +1,7 @@
-//! What concurrent histories are checked against, by the WGL checker of `todc-utils`.
+//! Sequential specifications for the linearizability checker (WGL) of `todc-utils`.
 //!
-//! An operation whose caller got no answer is resolved from the log or the service: if it
-//! took effect, it did so at some time after its call; if not, it is no operation.
+//! The log or the service decides the outcome of an operation whose caller got no answer:
+//! if it took effect, it did so at some time after its call; otherwise it is left out.
 
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::linearizability::WGLChecker;
@@ -10,21 +10,21 @@
 /// A change of one object, from a base version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigEvent {
-    /// The change was accepted: `base` was current, `version` is now.
+    /// The change was accepted: `base` was the current version and `version` replaced it.
     Accepted {
-        /// The version it was made from; 0 for none.
+        /// The version that the change is based on; 0 for none.
         base: u64,
-        /// The version it made.
+        /// The version that the change created.
         version: u64,
     },
     /// The change was refused because `base` was not current.
     Refused {
-        /// The version it was made from; 0 for none.
+        /// The version that the change is based on; 0 for none.
         base: u64,
     },
 }
 
-/// An object with a version, changed by compare-and-swap.
+/// A versioned object that is changed by compare-and-swap.
 #[derive(Debug)]
 pub struct ConfigSpec;
 
@@ -44,16 +44,16 @@
     }
 }
 
-/// A claim of a lease.
+/// The outcome of a claim of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// It was taken under a fencing number.
+    /// The lease was acquired with this fencing token.
     Taken(u64),
     /// The claim had no effect.
-    Void,
+    NoEffect,
 }
 
-/// A lease whose fencing numbers only grow.
+/// A lease whose fencing tokens strictly increase.
 #[derive(Debug)]
 pub struct LeaseSpec;
 
@@ -68,23 +68,23 @@
     fn apply(event: &LeaseEvent, state: &u64) -> (bool, u64) {
         match event {
             LeaseEvent::Taken(fence) => (fence > state, *fence),
-            LeaseEvent::Void => (true, *state),
+            LeaseEvent::NoEffect => (true, *state),
         }
     }
 }
 
-/// A keyed request, as its caller was answered.
+/// The answer that the caller of a keyed request received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OnceEvent {
-    /// This attempt ran.
+    /// This attempt was executed.
     Ran(u64),
-    /// The answer of an earlier attempt was given.
+    /// The stored answer of this earlier attempt was returned.
     Kept(u64),
-    /// Nothing ran, or it is not known and nothing did.
-    Nothing,
+    /// The request was not executed, whether or not its caller knows.
+    NotRun,
 }
 
-/// A key that runs at most once and whose answer never changes.
+/// A key that is executed at most once and whose answer never changes.
 #[derive(Debug)]
 pub struct OnceSpec;
 
@@ -100,27 +100,37 @@
         match event {
             OnceEvent::Ran(attempt) => (state.is_none(), Some(*attempt)),
             OnceEvent::Kept(attempt) => (*state == Some(*attempt), *state),
-            OnceEvent::Nothing => (true, *state),
+            OnceEvent::NotRun => (true, *state),
         }
     }
 }
 
-/// One operation of a history: when it was called and answered, and how it went.
+/// One operation of a history: the steps of its call and answer, and its outcome.
 pub(crate) struct Operation<E> {
     pub(crate) called: u64,
     pub(crate) answered: u64,
     pub(crate) event: E,
 }
 
-/// Whether a history is linearizable. An empty one is.
+/// Whether a history is linearizable; an empty history is.
 pub(crate) fn is_linearizable<S: Specification>(operations: &[Operation<S::Operation>]) -> bool
 where
     S::Operation: Copy,
 {
     let mut actions = Vec::new();
-    for (process, o) in operations.iter().enumerate() {
-        actions.push((o.called, false, process, Action::Call(o.event)));
-        actions.push((o.answered, true, process, Action::Response(o.event)));
+    for (process, operation) in operations.iter().enumerate() {
+        actions.push((
+            operation.called,
+            false,
+            process,
+            Action::Call(operation.event),
+        ));
+        actions.push((
+            operation.answered,
+            true,
+            process,
+            Action::Response(operation.event),
+        ));
     }
     actions.sort_by_key(|(step, answer, process, _)| (*step, *answer, *process));
     if actions.is_empty() {
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,15 +1,16 @@
-//! Long randomised runs over the decision code, with the invariants checked.
+//! Randomised fault injection against the decision code, with invariant checks.
 //!
-//! Each [`Subject`] drives the same code that the daemon drives, against small fakes at
-//! its interface, from one seed: a log that loses answers and lets appends take effect
-//! late, processes that are paused and replaced, orders that are lost, late and doubled.
-//! [`run`] repeats exactly what a seed did. [`Tally`] counts per invariant what was run,
-//! injected, checked and violated; the program's own assertions count as violations too.
+//! Each [`Subject`] runs the same code as the daemon against small fakes of its
+//! dependencies. The faults are drawn from a seed: the log loses answers and delays
+//! appends, processes are paused and replaced, and orders are lost, delayed and duplicated.
+//! [`run`] is deterministic for a given seed. [`Tally`] counts steps, injected faults,
+//! checks and violations per invariant; a panic in the code under test is a violation too.
 //!
-//! The checker is checked: with one [`shaleline_types::Safeguard`] suspended, the runs
-//! must find a violation. `docs/PROOFS.md` has the table.
+//! The checks themselves are tested by suspending one [`shaleline_types::Safeguard`] at a
+//! time: the runs must then find a violation. `docs/PROOFS.md` lists the results.
 
 mod cell_run;
+mod cluster;
 mod config_run;
 mod drain_run;
 mod history;
@@ -18,7 +19,6 @@
 mod route_run;
 mod run;
 mod tally;
-mod world;
 
 pub use history::{ConfigEvent, ConfigSpec, LeaseEvent, LeaseSpec, OnceEvent, OnceSpec};
 pub use run::{run, Subject};
--- a/crates/faults/src/once_run.rs
+++ b/crates/faults/src/once_run.rs
@@ -1,8 +1,9 @@
-//! Keyed requests: callers repeat, daemons die, answers are lost, the log is late.
+//! Keyed requests: callers repeat them, daemons fail, answers are lost and log appends are
+//! delayed.
 
+use crate::cluster::{Cluster, Event, Retention};
 use crate::history::{is_linearizable, OnceEvent, OnceSpec, Operation};
 use crate::tally::{Invariant, Tally};
-use crate::world::{Event, Retention, World};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_log::{Priority, Ticket};
@@ -17,9 +18,9 @@
 const KEYS: u64 = 6;
 const STEPS: u64 = 4_000;
 const SETTLE: u64 = 2_000;
-const MOST_OPERATIONS: usize = 60;
+const MAX_OPERATIONS: usize = 60;
 
-/// One caller's request and how it was answered.
+/// One caller's request and its answer.
 struct Call {
     key: u64,
     called: u64,
@@ -28,72 +29,72 @@
     not_run: bool,
 }
 
-/// An attempt at a process.
-struct Live {
+/// An unfinished attempt and the process that makes it.
+struct ActiveAttempt {
     node: usize,
     attempt: Attempt,
-    asked: Option<Ticket>,
+    ticket: Option<Ticket>,
     watching: Option<WriterId>,
-    /// When the service's answer arrives, and how the send ends.
+    /// The step at which the send ends, and its outcome.
     sending: Option<(u64, SendOutcome)>,
 }
 
 struct Callers {
     calls: Vec<Call>,
-    live: BTreeMap<usize, Live>,
+    active: BTreeMap<usize, ActiveAttempt>,
     tickets: BTreeMap<(WriterId, Ticket), usize>,
-    /// The attempts that the service ran, by key.
+    /// The attempts that the service executed, by key.
     ran: BTreeMap<u64, Vec<u64>>,
-    dead: BTreeSet<WriterId>,
+    replaced: BTreeSet<WriterId>,
 }
 
 pub(crate) fn run(seed: u64, tally: &mut Tally) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world: World<OnceMachine> = World::new(NODES, Retention::Covered);
+    let mut cluster: Cluster<OnceMachine> = Cluster::new(NODES, Retention::Covered);
     let mut callers = Callers {
         calls: Vec::new(),
-        live: BTreeMap::new(),
+        active: BTreeMap::new(),
         tickets: BTreeMap::new(),
         ran: BTreeMap::new(),
-        dead: BTreeSet::new(),
+        replaced: BTreeSet::new(),
     };
-    let mut writers: Vec<WriterId> = world.nodes.iter().map(|n| n.writer).collect();
+    let mut writers: Vec<WriterId> = cluster.nodes.iter().map(|n| n.writer).collect();
     for step in 0..STEPS + SETTLE {
         tally.next_step();
         if !tally.is_clean() {
             return;
         }
         if step == STEPS {
-            world.heal();
+            cluster.heal();
         }
         if step < STEPS && rng.random_range(0..20) == 0 {
-            callers.call(&mut world, &mut rng, tally);
+            callers.call(&mut cluster, &mut rng, tally);
         }
-        callers.time_passes(&mut world, &mut rng, tally);
-        for event in world.step(&mut rng, tally) {
+        callers.advance(&mut cluster, &mut rng, tally);
+        for event in cluster.step(&mut rng, tally) {
             match event {
                 Event::Done { node, done } => {
-                    let writer = world.nodes[node].writer;
+                    let writer = cluster.nodes[node].writer;
                     if let Some(id) = callers.tickets.remove(&(writer, done.ticket)) {
                         let event = AttemptEvent::Judged(done.verdict);
-                        callers.step(&mut world, id, event, &mut rng, tally);
+                        callers.step(&mut cluster, id, event, &mut rng, tally);
                     }
                 }
                 Event::Replaced { node } => {
-                    callers.dead.insert(writers[node]);
-                    writers[node] = world.nodes[node].writer;
-                    callers.live.retain(|_, l| l.node != node);
+                    callers.replaced.insert(writers[node]);
+                    writers[node] = cluster.nodes[node].writer;
+                    callers.active.retain(|_, a| a.node != node);
                 }
                 Event::Reverted { node } => tally.check(Invariant::Once, false, || {
-                    format!("the journal of process {node} went back")
+                    format!("process {node} reverted to an earlier journal")
                 }),
             }
         }
-        if step > STEPS && world.is_quiet() && callers.live.is_empty() {
+        if step > STEPS && cluster.is_quiescent() && callers.active.is_empty() {
             break;
         }
     }
-    callers.conclude(&world, tally);
+    callers.check_final_state(&cluster, tally);
 }
 
 fn key_of(number: u64) -> OnceKey {
@@ -115,62 +116,62 @@
 }
 
 impl Callers {
-    fn call(&mut self, world: &mut World<OnceMachine>, rng: &mut SmallRng, tally: &mut Tally) {
+    fn call(&mut self, cluster: &mut Cluster<OnceMachine>, rng: &mut SmallRng, tally: &mut Tally) {
         let node = rng.random_range(0..NODES);
-        if !world.is_up(node) {
+        if !cluster.is_up(node) {
             return;
         }
-        let key = rng.random_range(0..KEYS) + KEYS * (world.step / 800);
+        let key = rng.random_range(0..KEYS) + KEYS * (cluster.step / 800);
         let id = self.calls.len();
         self.calls.push(Call {
             key,
-            called: world.step,
+            called: cluster.step,
             answered: None,
             event: None,
             not_run: false,
         });
         let attempt = Attempt::new(key_of(key), RequestId(id as u64), "request".to_owned());
-        let known = world.nodes[node]
+        let known = cluster.nodes[node]
             .replica
             .machine()
             .known(attempt.key(), "request");
-        self.live.insert(
+        self.active.insert(
             id,
-            Live {
+            ActiveAttempt {
                 node,
                 attempt,
-                asked: None,
+                ticket: None,
                 watching: None,
                 sending: None,
             },
         );
         let event = known.map_or(AttemptEvent::Start, AttemptEvent::Known);
-        self.step(world, id, event, rng, tally);
+        self.step(cluster, id, event, rng, tally);
     }
 
     fn step(
         &mut self,
-        world: &mut World<OnceMachine>,
+        cluster: &mut Cluster<OnceMachine>,
         id: usize,
         event: AttemptEvent,
         rng: &mut SmallRng,
         tally: &mut Tally,
     ) {
-        let now = world.now();
-        let Some(live) = self.live.get_mut(&id) else {
+        let now = cluster.now();
+        let Some(active) = self.active.get_mut(&id) else {
             return;
         };
-        live.asked = None;
-        live.watching = None;
-        let actions = live.attempt.step(event, now);
-        let node = live.node;
+        active.ticket = None;
+        active.watching = None;
+        let actions = active.attempt.step(event, now);
+        let node = active.node;
         for action in actions {
             match action {
-                AttemptAction::Append(body) => self.append(world, id, node, body),
-                AttemptAction::Send => self.send(world, id, rng, tally),
+                AttemptAction::Append(body) => self.append(cluster, id, node, body),
+                AttemptAction::Send => self.send(cluster, id, rng, tally),
                 AttemptAction::Watch(writer) => {
-                    if let Some(live) = self.live.get_mut(&id) {
-                        live.watching = Some(writer);
+                    if let Some(active) = self.active.get_mut(&id) {
+                        active.watching = Some(writer);
                     }
                 }
                 AttemptAction::Answer { answer, kept } => {
@@ -180,7 +181,7 @@
                     } else {
                         OnceEvent::Ran(ran)
                     };
-                    self.answered(id, event, world.step);
+                    self.record_answer(id, event, cluster.step);
                 }
                 AttemptAction::Fail(kind) => {
                     let not_run = kind.answer().outcome == Outcome::NotRun;
@@ -189,32 +190,38 @@
                     let event = if ran && !not_run {
                         OnceEvent::Ran(id as u64)
                     } else {
-                        OnceEvent::Nothing
+                        OnceEvent::NotRun
                     };
-                    self.answered(id, event, world.step);
+                    self.record_answer(id, event, cluster.step);
                 }
             }
         }
-        let done = self.live.get(&id).is_some_and(|l| l.attempt.is_done());
+        let done = self.active.get(&id).is_some_and(|a| a.attempt.is_done());
         if done {
-            self.live.remove(&id);
+            self.active.remove(&id);
         }
     }
 
-    fn append(&mut self, world: &mut World<OnceMachine>, id: usize, node: usize, body: OnceBody) {
-        let asks = matches!(body, OnceBody::Begun { .. });
-        let n = &mut world.nodes[node];
+    fn append(
+        &mut self,
+        cluster: &mut Cluster<OnceMachine>,
+        id: usize,
+        node: usize,
+        body: OnceBody,
+    ) {
+        let needs_verdict = matches!(body, OnceBody::Begun { .. });
+        let n = &mut cluster.nodes[node];
         let ticket = n.replica.submit(Priority::Once, body);
-        if !asks {
+        if !needs_verdict {
             return;
         }
         self.tickets.insert((n.writer, ticket), id);
-        if let Some(live) = self.live.get_mut(&id) {
-            live.asked = Some(ticket);
+        if let Some(active) = self.active.get_mut(&id) {
+            active.ticket = Some(ticket);
         }
     }
 
-    fn answered(&mut self, id: usize, event: OnceEvent, step: u64) {
+    fn record_answer(&mut self, id: usize, event: OnceEvent, step: u64) {
         let call = &mut self.calls[id];
         if call.answered.is_none() {
             call.answered = Some(step);
@@ -227,86 +234,89 @@
         ran.is_some_and(|a| a.contains(&(id as u64)))
     }
 
-    /// The send reaches the service or not, and its answer comes or not.
+    /// Sends the request; at random the service does not receive it or its answer is lost.
     fn send(
         &mut self,
-        world: &World<OnceMachine>,
+        cluster: &Cluster<OnceMachine>,
         id: usize,
         rng: &mut SmallRng,
         tally: &mut Tally,
     ) {
         let key = self.calls[id].key;
-        let dice = rng.random_range(0..100);
-        let end = match dice {
+        let choice = rng.random_range(0..100);
+        let end = match choice {
             0..60 => SendOutcome::Answered(answer_of(id as u64)),
             60..75 => SendOutcome::NotSent,
             _ => SendOutcome::Unknown,
         };
-        if end != SendOutcome::NotSent && dice < 90 {
+        if end != SendOutcome::NotSent && choice < 90 {
             let ran = self.ran.entry(key).or_default();
             ran.push(id as u64);
             let count = ran.len();
             tally.check(Invariant::Once, count == 1, || {
                 format!("key {key} ran {count} times")
             });
-            let told = self.calls[id].not_run;
-            tally.check(Invariant::NotRun, !told, || {
-                format!("attempt {id} at key {key} ran after its caller was told that it did not")
+            let reported = self.calls[id].not_run;
+            tally.check(Invariant::NotRun, !reported, || {
+                format!("attempt {id} at key {key} ran although it was reported to its caller as not run")
             });
         }
         if !matches!(end, SendOutcome::Answered(_)) {
-            tally.fault();
+            tally.count_fault();
         }
-        let due = world.step + rng.random_range(0..60);
-        if let Some(live) = self.live.get_mut(&id) {
-            live.sending = Some((due, end));
+        let due = cluster.step + rng.random_range(0..60);
+        if let Some(active) = self.active.get_mut(&id) {
+            active.sending = Some((due, end));
         }
     }
 
-    fn time_passes(
+    fn advance(
         &mut self,
-        world: &mut World<OnceMachine>,
+        cluster: &mut Cluster<OnceMachine>,
         rng: &mut SmallRng,
         tally: &mut Tally,
     ) {
-        let ids: Vec<usize> = self.live.keys().copied().collect();
+        let ids: Vec<usize> = self.active.keys().copied().collect();
         for id in ids {
-            let Some(event) = self.next_event(world, id, rng) else {
+            let Some(event) = self.next_event(cluster, id, rng) else {
                 continue;
             };
             if event == AttemptEvent::Deadline && rng.random_range(0..2) == 0 {
-                self.withdraw(world, id);
+                self.withdraw(cluster, id);
             }
-            self.step(world, id, event, rng, tally);
+            self.step(cluster, id, event, rng, tally);
         }
     }
 
-    /// What comes next for an attempt, if anything does now.
+    /// Returns the next event of an attempt, if there is one at this step.
     fn next_event(
         &mut self,
-        world: &World<OnceMachine>,
+        cluster: &Cluster<OnceMachine>,
         id: usize,
         rng: &mut SmallRng,
     ) -> Option<AttemptEvent> {
-        let live = self.live.get_mut(&id)?;
-        if !world.is_up(live.node) {
+        let active = self.active.get_mut(&id)?;
+        if !cluster.is_up(active.node) {
             return None;
         }
-        if let Some((due, _)) = live.sending {
-            if due > world.step {
+        if let Some((due, _)) = active.sending {
+            if due > cluster.step {
                 return None;
             }
-            return live.sending.take().map(|(_, end)| AttemptEvent::Sent(end));
+            return active
+                .sending
+                .take()
+                .map(|(_, end)| AttemptEvent::Sent(end));
         }
-        if let Some(writer) = live.watching {
-            let machine = world.nodes[live.node].replica.machine();
-            return match machine.get(live.attempt.key()) {
+        if let Some(writer) = active.watching {
+            let machine = cluster.nodes[active.node].replica.machine();
+            return match machine.get(active.attempt.key()) {
                 Some(KeyState::Finished(answer)) => {
                     Some(AttemptEvent::OtherFinished(answer.clone()))
                 }
                 Some(KeyState::Free) | None => Some(AttemptEvent::OtherAbandoned),
                 Some(KeyState::Lost) => Some(AttemptEvent::OtherLost),
-                Some(KeyState::Begun { .. }) if self.dead.contains(&writer) => {
+                Some(KeyState::Begun { .. }) if self.replaced.contains(&writer) => {
                     Some(AttemptEvent::OtherLost)
                 }
                 Some(KeyState::Begun { .. }) => {
@@ -314,24 +324,24 @@
                 }
             };
         }
-        let waits = live.asked.is_some();
-        (waits && rng.random_range(0..80) == 0).then_some(AttemptEvent::Deadline)
+        let waiting = active.ticket.is_some();
+        (waiting && rng.random_range(0..80) == 0).then_some(AttemptEvent::Deadline)
     }
 
-    fn withdraw(&mut self, world: &mut World<OnceMachine>, id: usize) {
-        if let Some(live) = self.live.get(&id) {
-            if let Some(ticket) = live.asked {
-                world.nodes[live.node]
+    fn withdraw(&mut self, cluster: &mut Cluster<OnceMachine>, id: usize) {
+        if let Some(active) = self.active.get(&id) {
+            if let Some(ticket) = active.ticket {
+                cluster.nodes[active.node]
                     .replica
                     .withdraw(Priority::Once, ticket);
             }
         }
     }
 
-    fn conclude(&self, world: &World<OnceMachine>, tally: &mut Tally) {
-        let diverged = world.diverged();
+    fn check_final_state(&self, cluster: &Cluster<OnceMachine>, tally: &mut Tally) {
+        let diverged = cluster.diverged();
         tally.check(Invariant::Once, diverged.is_empty(), || {
-            format!("the journals of {diverged:?} differ")
+            format!("the journals of processes {diverged:?} differ")
         });
         for call in &self.calls {
             let Some(OnceEvent::Kept(ran)) = call.event else {
@@ -343,14 +353,14 @@
                 .is_some_and(|a| a.first() == Some(&ran));
             tally.check(Invariant::OwnAnswer, own, || {
                 format!(
-                    "a caller of key {} got the answer of attempt {ran}",
+                    "a caller of key {} received the answer of attempt {ran}, which was not the one executed",
                     call.key
                 )
             });
         }
         let keys: BTreeSet<u64> = self.calls.iter().map(|c| c.key).collect();
         for key in keys {
-            self.check_history(key, world.step, tally);
+            self.check_history(key, cluster.step, tally);
         }
     }
 
@@ -364,10 +374,10 @@
             Operation {
                 called: call.called,
                 answered: call.answered.unwrap_or(last + 1),
-                event: call.event.or(ran).unwrap_or(OnceEvent::Nothing),
+                event: call.event.or(ran).unwrap_or(OnceEvent::NotRun),
             }
         };
-        let operations: Vec<_> = own.take(MOST_OPERATIONS).map(operation).collect();
+        let operations: Vec<_> = own.take(MAX_OPERATIONS).map(operation).collect();
         let holds = is_linearizable::<OnceSpec>(&operations);
         tally.check(Invariant::Once, holds, || {
             format!("the calls of key {key} are not linearizable")
--- a/crates/faults/src/route_run.rs
+++ b/crates/faults/src/route_run.rs
@@ -1,4 +1,4 @@
-//! Admission, routing and retries: upstreams fail, hang, leave and answer late.
+//! Admission, routing and retries: upstreams fail, hang, leave and send late answers.
 
 use crate::tally::{Invariant, Tally};
 use rand::rngs::SmallRng;
@@ -18,21 +18,21 @@
 const SLOTS: usize = 4;
 const CONCURRENCY: u64 = 12;
 
-struct Asked {
+struct RequestState {
     org: Org,
     repeatable: bool,
-    /// The attempt that counts, and where it is.
+    /// The current attempt and its upstream.
     current: Option<(u32, Upstream)>,
-    /// Attempts that were given up.
-    old: Vec<u32>,
-    /// Whether some attempt may have run.
+    /// Attempts that have ended or were cancelled.
+    superseded: Vec<u32>,
+    /// Whether any attempt may have been executed.
     may_have_run: bool,
     answers: u32,
 }
 
 struct Callers {
     router: Router,
-    asked: BTreeMap<RequestId, Asked>,
+    requests: BTreeMap<RequestId, RequestState>,
     leaving: BTreeSet<Upstream>,
     next: u64,
 }
@@ -46,7 +46,7 @@
     };
     let mut callers = Callers {
         router: Router::new(settings, ShareBook::alone("me")),
-        asked: BTreeMap::new(),
+        requests: BTreeMap::new(),
         leaving: BTreeSet::new(),
         next: 0,
     };
@@ -57,16 +57,16 @@
         let event = if settling {
             callers.settle(&mut rng, step)
         } else {
-            callers.event(&mut rng, now, tally)
+            callers.random_event(&mut rng, now, tally)
         };
         if let Some(event) = event {
             callers.step(event, now, tally);
         }
-        callers.look(tally);
+        callers.check_limits(tally);
     }
-    let left = callers.asked.values().filter(|a| a.answers == 0).count();
-    tally.check(Invariant::Settled, left == 0, || {
-        format!("{left} requests have no answer")
+    let unanswered = callers.requests.values().filter(|a| a.answers == 0).count();
+    tally.check(Invariant::Settled, unanswered == 0, || {
+        format!("{unanswered} requests have no answer")
     });
 }
 
@@ -78,7 +78,7 @@
     Route::Service(Service::from_text(&format!("s-{number}")).expect("the name is valid"))
 }
 
-fn site(number: u64) -> UpstreamInfo {
+fn upstream_info(number: u64) -> UpstreamInfo {
     let routes = if number % 2 == 0 {
         vec![route(0)]
     } else {
@@ -91,21 +91,26 @@
 }
 
 impl Callers {
-    fn event(&mut self, rng: &mut SmallRng, now: Millis, tally: &mut Tally) -> Option<RouteEvent> {
+    fn random_event(
+        &mut self,
+        rng: &mut SmallRng,
+        now: Millis,
+        tally: &mut Tally,
+    ) -> Option<RouteEvent> {
         let number = rng.random_range(0..UPSTREAMS);
         let name = upstream(number);
         Some(match rng.random_range(0..100) {
-            0..30 => self.arrive(rng, now),
-            30..60 => return self.some_end(rng, tally),
-            60..70 => return self.some_byte(rng),
+            0..30 => self.new_request(rng, now),
+            30..60 => return self.random_end(rng, tally),
+            60..70 => return self.random_first_byte(rng),
             70..72 => return self.stale_end(rng, tally),
             72..76 => {
-                tally.fault();
+                tally.count_fault();
                 return self.caller_gone(rng);
             }
             76..84 => RouteEvent::Serves {
                 upstream: name,
-                info: site(number),
+                info: upstream_info(number),
             },
             84..90 => RouteEvent::Report {
                 upstream: name,
@@ -117,7 +122,7 @@
                 },
             },
             90..93 => {
-                tally.fault();
+                tally.count_fault();
                 let on = rng.random_range(0..2) == 0;
                 if on {
                     self.leaving.insert(name.clone());
@@ -127,14 +132,14 @@
                 RouteEvent::Leaving { upstream: name, on }
             }
             93..94 => {
-                tally.fault();
+                tally.count_fault();
                 RouteEvent::Removed(name)
             }
             _ => RouteEvent::Tick,
         })
     }
 
-    /// After all faults every upstream serves and every send ends well.
+    /// Returns an event without faults: every upstream serves and every attempt succeeds.
     fn settle(&mut self, rng: &mut SmallRng, step: u64) -> Option<RouteEvent> {
         let number = step % UPSTREAMS;
         let name = upstream(number);
@@ -146,7 +151,7 @@
             }
             1 => Some(RouteEvent::Serves {
                 upstream: name,
-                info: site(number),
+                info: upstream_info(number),
             }),
             2 => Some(RouteEvent::Report {
                 upstream: name,
@@ -164,19 +169,19 @@
         }
     }
 
-    fn arrive(&mut self, rng: &mut SmallRng, now: Millis) -> RouteEvent {
+    fn new_request(&mut self, rng: &mut SmallRng, now: Millis) -> RouteEvent {
         self.next += 1;
         let id = RequestId(self.next);
         let org = Org::from_text(&format!("org-{}", rng.random_range(0..ORGS)));
         let org = org.expect("the name is valid");
         let repeatable = rng.random_range(0..2) == 0;
-        self.asked.insert(
+        self.requests.insert(
             id,
-            Asked {
+            RequestState {
                 org: org.clone(),
                 repeatable,
                 current: None,
-                old: Vec::new(),
+                superseded: Vec::new(),
                 may_have_run: false,
                 answers: 0,
             },
@@ -203,15 +208,15 @@
     }
 
     fn in_flight(&self, rng: &mut SmallRng) -> Option<(RequestId, u32)> {
-        let flights: Vec<(RequestId, u32)> = self
-            .asked
+        let current: Vec<(RequestId, u32)> = self
+            .requests
             .iter()
             .filter_map(|(id, a)| Some((*id, a.current.as_ref()?.0)))
             .collect();
-        (!flights.is_empty()).then(|| flights[rng.random_range(0..flights.len())])
+        (!current.is_empty()).then(|| current[rng.random_range(0..current.len())])
     }
 
-    fn some_end(&mut self, rng: &mut SmallRng, tally: &mut Tally) -> Option<RouteEvent> {
+    fn random_end(&mut self, rng: &mut SmallRng, tally: &mut Tally) -> Option<RouteEvent> {
         let (id, attempt) = self.in_flight(rng)?;
         let end = match rng.random_range(0..100) {
             0..70 => AttemptEnd::Whole,
@@ -220,28 +225,28 @@
             _ => AttemptEnd::Broken,
         };
         if end != AttemptEnd::Whole {
-            tally.fault();
+            tally.count_fault();
         }
         Some(RouteEvent::Ended { id, attempt, end })
     }
 
-    fn some_byte(&mut self, rng: &mut SmallRng) -> Option<RouteEvent> {
+    fn random_first_byte(&mut self, rng: &mut SmallRng) -> Option<RouteEvent> {
         let (id, attempt) = self.in_flight(rng)?;
         Some(RouteEvent::FirstByte { id, attempt })
     }
 
-    /// A late answer to an attempt that was given up.
+    /// Returns a late answer to a superseded attempt.
     fn stale_end(&mut self, rng: &mut SmallRng, tally: &mut Tally) -> Option<RouteEvent> {
         let stale: Vec<(RequestId, u32)> = self
-            .asked
+            .requests
             .iter()
             .filter(|(_, a)| a.answers == 0)
-            .flat_map(|(id, a)| a.old.iter().map(|o| (*id, *o)))
+            .flat_map(|(id, a)| a.superseded.iter().map(|o| (*id, *o)))
             .collect();
         if stale.is_empty() {
             return None;
         }
-        tally.fault();
+        tally.count_fault();
         let (id, attempt) = stale[rng.random_range(0..stale.len())];
         let end = AttemptEnd::Whole;
         Some(RouteEvent::Ended { id, attempt, end })
@@ -249,7 +254,7 @@
 
     fn caller_gone(&mut self, rng: &mut SmallRng) -> Option<RouteEvent> {
         let open: Vec<RequestId> = self
-            .asked
+            .requests
             .iter()
             .filter(|(_, a)| a.answers == 0)
             .map(|(id, _)| *id)
@@ -258,9 +263,9 @@
             return None;
         }
         let id = open[rng.random_range(0..open.len())];
-        if let Some(asked) = self.asked.get_mut(&id) {
-            asked.answers = 1;
-            asked.current = None;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.answers = 1;
+            request.current = None;
         }
         Some(RouteEvent::CallerGone(id))
     }
@@ -269,7 +274,7 @@
         let before = self.router.stats().open;
         let stale = self.is_stale(&event);
         if let RouteEvent::Ended { id, attempt, end } = &event {
-            self.note_end(*id, *attempt, *end);
+            self.record_end(*id, *attempt, *end);
         }
         let actions = self.router.step(event, now);
         if stale {
@@ -277,27 +282,32 @@
             tally.check(
                 Invariant::OwnAnswer,
                 before == after && actions.is_empty(),
-                || "a late answer to an old attempt was taken for the answer".to_owned(),
+                || "a late answer to a superseded attempt was accepted as the answer".to_owned(),
             );
         }
         for action in actions {
             if let RouteAction::Send { upstream, .. } = &action {
-                self.check_places(upstream, now, tally);
+                self.check_slots(upstream, now, tally);
             }
-            self.act(action, tally);
+            self.apply_action(action, tally);
         }
     }
 
-    /// Whoever was sent work has a place for it; a probe of one that hung may be one more.
-    fn check_places(&self, upstream: &Upstream, now: Millis, tally: &mut Tally) {
+    /// Checks that an upstream has a slot for each request sent to it. The probe of an upstream
+    /// that hung may exceed the slots by one.
+    fn check_slots(&self, upstream: &Upstream, now: Millis, tally: &mut Tally) {
         let all = self.router.upstreams(now);
-        for back in all.iter().filter(|b| b.name == upstream.as_str()) {
-            tally.check(Invariant::Limits, back.in_flight <= back.slots + 1, || {
-                format!(
-                    "{} has {} requests, {} places",
-                    back.name, back.in_flight, back.slots
-                )
-            });
+        for status in all.iter().filter(|b| b.name == upstream.as_str()) {
+            tally.check(
+                Invariant::Limits,
+                status.in_flight <= status.slots + 1,
+                || {
+                    format!(
+                        "{} has {} requests, {} slots",
+                        status.name, status.in_flight, status.slots
+                    )
+                },
+            );
         }
     }
 
@@ -305,30 +315,31 @@
         let RouteEvent::Ended { id, attempt, .. } = event else {
             return false;
         };
-        self.asked
+        self.requests
             .get(id)
-            .is_some_and(|a| a.answers == 0 && a.old.contains(attempt))
+            .is_some_and(|a| a.answers == 0 && a.superseded.contains(attempt))
     }
 
-    /// The caller's side of an end: a whole answer to the current attempt is passed on.
-    fn note_end(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
-        let Some(asked) = self.asked.get_mut(&id) else {
+    /// Records the end of an attempt; a whole answer to the current attempt is passed to the
+    /// caller.
+    fn record_end(&mut self, id: RequestId, attempt: u32, end: AttemptEnd) {
+        let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        let current = asked.current.as_ref().is_some_and(|(a, _)| *a == attempt);
+        let current = request.current.as_ref().is_some_and(|(a, _)| *a == attempt);
         if !current {
             return;
         }
-        asked.current = None;
-        asked.old.push(attempt);
-        asked.may_have_run |= matches!(end, AttemptEnd::Broken);
+        request.current = None;
+        request.superseded.push(attempt);
+        request.may_have_run |= matches!(end, AttemptEnd::Broken);
         if end == AttemptEnd::Whole {
-            asked.answers += 1;
-            asked.old.clear();
+            request.answers += 1;
+            request.superseded.clear();
         }
     }
 
-    fn act(&mut self, action: RouteAction, tally: &mut Tally) {
+    fn apply_action(&mut self, action: RouteAction, tally: &mut Tally) {
         match action {
             RouteAction::Send {
                 id,
@@ -338,34 +349,34 @@
             } => {
                 let leaving = self.leaving.contains(&upstream);
                 tally.check(Invariant::Leaving, !leaving, || {
-                    format!("{upstream} got new work")
+                    format!("{upstream} received new work while leaving")
                 });
-                let Some(asked) = self.asked.get_mut(&id) else {
+                let Some(request) = self.requests.get_mut(&id) else {
                     return;
                 };
-                let again = asked.may_have_run && !asked.repeatable;
-                tally.check(Invariant::Once, !again, || {
-                    format!("request {id} was sent again")
+                let repeated = request.may_have_run && !request.repeatable;
+                tally.check(Invariant::Once, !repeated, || {
+                    format!("request {id} was sent again although it may have run")
                 });
-                tally.check(Invariant::Settled, asked.answers == 0, || {
+                tally.check(Invariant::Settled, request.answers == 0, || {
                     format!("request {id} was sent after its answer")
                 });
-                if let Some((old, _)) = asked.current.replace((attempt, upstream)) {
-                    asked.old.push(old);
+                if let Some((superseded, _)) = request.current.replace((attempt, upstream)) {
+                    request.superseded.push(superseded);
                 }
             }
             RouteAction::Cancel { id, attempt, .. } => {
-                if let Some(asked) = self.asked.get_mut(&id) {
-                    asked.old.push(attempt);
-                    asked.may_have_run = true;
-                    asked.current = None;
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.superseded.push(attempt);
+                    request.may_have_run = true;
+                    request.current = None;
                 }
             }
             RouteAction::Refuse { id, .. } => {
-                if let Some(asked) = self.asked.get_mut(&id) {
-                    asked.answers += 1;
-                    asked.current = None;
-                    let answers = asked.answers;
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.answers += 1;
+                    request.current = None;
+                    let answers = request.answers;
                     tally.check(Invariant::Settled, answers == 1, || {
                         format!("request {id} was answered {answers} times")
                     });
@@ -374,17 +385,17 @@
         }
     }
 
-    fn look(&mut self, tally: &mut Tally) {
+    fn check_limits(&mut self, tally: &mut Tally) {
         let mut by_org: BTreeMap<&Org, u64> = BTreeMap::new();
-        for asked in self.asked.values().filter(|a| a.answers == 0) {
-            *by_org.entry(&asked.org).or_default() += 1;
+        for request in self.requests.values().filter(|a| a.answers == 0) {
+            *by_org.entry(&request.org).or_default() += 1;
         }
         for (org, count) in by_org {
             tally.check(Invariant::Limits, count <= CONCURRENCY, || {
-                format!("{org} has {count} requests at once, {CONCURRENCY} allowed")
+                format!("{org} has {count} concurrent requests, {CONCURRENCY} allowed")
             });
         }
-        self.asked
+        self.requests
             .retain(|_, a| a.answers == 0 || a.current.is_some());
     }
 }
--- a/crates/faults/src/run.rs
+++ b/crates/faults/src/run.rs
@@ -1,23 +1,23 @@
-//! Runs one subject from one seed.
+//! Runs one subject with one seed.
 
 use crate::tally::{Invariant, Tally};
 use crate::{cell_run, config_run, drain_run, log_run, once_run, route_run};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// What is run.
+/// The code that a run tests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject {
-    /// The log's client by itself.
+    /// The log client alone.
     Log,
-    /// Configuration with racing operators.
+    /// Configuration changed by concurrent operators.
     Config,
-    /// Keyed requests.
+    /// Requests with an idempotency key.
     Once,
-    /// Ownership, memory and orders.
+    /// Cell ownership, the memory ledger and orders to engines.
     Cell,
     /// Admission, routing and retries.
     Route,
-    /// Planned stops.
+    /// Planned shutdown of a process.
     Drain,
 }
 
@@ -32,8 +32,8 @@
         Self::Drain,
     ];
 
-    /// The invariant that a panic in the subject's code counts against.
-    fn guarded(self) -> Invariant {
+    /// The invariant that a panic in the subject's code counts as a violation of.
+    fn panic_invariant(self) -> Invariant {
         match self {
             Self::Log => Invariant::Log,
             Self::Config => Invariant::Config,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Runs a subject from a seed. The same seed does the same, always.
+/// Runs a subject with a seed. The result is deterministic for a given seed.
 #[must_use]
 pub fn run(subject: Subject, seed: u64) -> Tally {
     let mut tally = Tally::new(seed);
@@ -58,13 +58,13 @@
         Subject::Drain => drain_run::run(seed, &mut tally),
     }));
     if let Err(cause) = result {
-        let text = cause
+        let message = cause
             .downcast_ref::<&str>()
-            .map(|t| (*t).to_owned())
+            .map(|m| (*m).to_owned())
             .or_else(|| cause.downcast_ref::<String>().cloned());
-        let text = text.unwrap_or_else(|| "a panic".to_owned());
-        tally.check(subject.guarded(), false, || {
-            format!("the program's assertion: {text}")
+        let message = message.unwrap_or_else(|| "unknown panic".to_owned());
+        tally.check(subject.panic_invariant(), false, || {
+            format!("the code under test panicked: {message}")
         });
     }
     tally.finish()
--- a/crates/faults/src/tally.rs
+++ b/crates/faults/src/tally.rs
@@ -1,25 +1,25 @@
-//! What the runs count.
+//! Counts of steps, faults, checks and violations.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 macro_rules! invariants {
-    ($($name:ident $code:literal;)+) => {
-        /// What must always hold.
+    ($($name:ident $text:literal;)+) => {
+        /// A property that must hold throughout a run.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum Invariant {
-            $(#[doc = $code] $name,)+
+            $(#[doc = $text] $name,)+
         }
 
         impl Invariant {
             /// Every invariant.
             pub const ALL: &'static [Self] = &[$(Self::$name,)+];
 
-            /// The invariant in words.
+            /// A description of the invariant.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
-                match self { $(Self::$name => $code,)+ }
+                match self { $(Self::$name => $text,)+ }
             }
         }
     };
@@ -39,20 +39,20 @@
     Settled "every request is answered exactly once";
 }
 
-/// A violation and the seed that repeats it.
+/// A violation and the seed that reproduces it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The invariant.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The step.
+    /// The step at which the check failed.
     pub step: u64,
-    /// What was seen.
+    /// A description of the violation.
     pub text: String,
 }
 
-/// What one run or several did.
+/// Counts of one or more runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Outcome {
     /// Steps run.
@@ -87,17 +87,17 @@
         self.step += 1;
     }
 
-    /// Whether no check of this run has failed. A spoilt run need not go on, and its
-    /// histories may take the checker for ever.
+    /// Whether no check of this run has failed. A run stops at its first violation, because
+    /// the linearizability checker may not terminate in practice on an invalid history.
     pub(crate) fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
-    pub(crate) fn fault(&mut self) {
+    pub(crate) fn count_fault(&mut self) {
         self.faults += 1;
     }
 
-    /// Checks an invariant; `text` is made only where it does not hold.
+    /// Checks an invariant; `text` is called only if it does not hold.
     pub(crate) fn check(
         &mut self,
         invariant: Invariant,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Credits the run's steps and faults to every invariant that it checked.
+    /// Sets the run's steps and faults on every invariant that it checked.
     pub(crate) fn finish(mut self) -> Self {
         for count in self.counts.values_mut() {
             count.steps = self.step;
@@ -128,17 +128,17 @@
 
     /// Adds another run's counts.
     pub fn add(&mut self, other: Self) {
-        for (invariant, more) in other.counts {
+        for (invariant, added) in other.counts {
             let count = self.counts.entry(invariant).or_default();
-            count.steps += more.steps;
-            count.faults += more.faults;
-            count.checks += more.checks;
-            count.violations += more.violations;
+            count.steps += added.steps;
+            count.faults += added.faults;
+            count.checks += added.checks;
+            count.violations += added.violations;
         }
         self.violations.extend(other.violations);
     }
 
-    /// The counts of an invariant.
+    /// Returns the counts of an invariant.
     #[must_use]
     pub fn outcome(&self, invariant: Invariant) -> Outcome {
         self.counts.get(&invariant).cloned().unwrap_or_default()
--- a/crates/faults/tests/runs.rs
+++ b/crates/faults/tests/runs.rs
@@ -1,4 +1,4 @@
-//! A few seeds of every subject; the long runs are `shaleline-bench faults`.
+//! Short runs of every subject; `shaleline-bench faults` does the long ones.
 
 use shaleline_faults::{run, Subject};
 use shaleline_testkit::cases;
@@ -20,10 +20,10 @@
     drain_holds: Subject::Drain => 0,
 }
 
-/// The seeds that found something, whatever else changes.
+/// Seeds that once found a violation.
 #[test]
-fn regression_the_seeds_that_found_something_hold() {
-    let found = [
+fn regression_seeds_of_past_violations_hold() {
+    let seeds = [
         (Subject::Log, 1),
         (Subject::Route, 1),
         (Subject::Cell, 2),
@@ -32,7 +32,7 @@
         (Subject::Cell, 706),
         (Subject::Cell, 962),
     ];
-    for (subject, seed) in found {
+    for (subject, seed) in seeds {
         assert!(
             run(subject, seed).violations().is_empty(),
             "{subject:?} {seed}"
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_seed_does_the_same_every_time() {
+fn runs_are_deterministic() {
     for subject in Subject::ALL {
         assert_eq!(run(*subject, 5), run(*subject, 5));
     }
