--- a/crates/bench/src/admission.rs
+++ b/crates/bench/src/admission.rs
@@ -1,4 +1,4 @@
-//! What it takes to find out whose a request is and to charge it, by the number of organisations.
+//! The cost of finding a request's organisation and charging it, by number of organisations.
 
 use crate::allowances::TOLERANCE;
 use crate::costs::resident_kb;
@@ -14,14 +14,15 @@
 const KEYS: usize = 10;
 const DECISIONS: usize = 200_000;
 
-/// What was measured at a number of organisations.
+/// The figures at one number of organisations.
 #[derive(Debug, Clone, Serialize)]
-pub struct Decision {
-    /// How many organisations, with ten keys each.
+pub struct DecisionCost {
+    /// Number of organisations, with ten keys each.
     pub orgs: usize,
-    /// The time of one decision, in microseconds.
+    /// Time of one decision in microseconds.
     pub us: f64,
-    /// The memory of the list of organisations, in kilobytes; of a small one reused pages hide it.
+    /// Memory of the list of organisations in kilobytes; too low for a small list, which reuses
+    /// freed pages.
     pub kb: f64,
 }
 
@@ -32,7 +33,7 @@
 fn orgs(count: usize) -> Orgs {
     let rule = |org: usize| {
         let rule = OrgRule {
-            name: Org::from_text(&format!("org-{org}")).expect("a valid name"),
+            name: Org::from_text(&format!("org-{org}")).expect("the name is valid"),
             priority: Some(1),
             allowance: Some(Allowance {
                 rate: 1e9,
@@ -43,50 +44,55 @@
         let keys = (0..KEYS).map(|k| KeyHash::from_key(&key(org, k)));
         (rule, keys.collect())
     };
-    Orgs::from_rules((0..count).map(rule)).expect("a sound list")
+    Orgs::from_rules((0..count).map(rule)).expect("a valid list")
 }
 
-fn measure(count: usize) -> Decision {
+fn measure(count: usize) -> DecisionCost {
     let before = resident_kb();
     let orgs = orgs(count);
     let kb = resident_kb() - before;
-    let shown: Vec<String> = (0..DECISIONS)
+    let keys: Vec<String> = (0..DECISIONS)
         .map(|i| key(i * 7_919 % count, i % KEYS))
         .collect();
-    let mut granter = Allocator::new(TOLERANCE);
-    let part = AllocatorShare {
+    let mut allocator = Allocator::new(TOLERANCE);
+    let share = AllocatorShare {
         fraction: 1.0,
         daemons: 90,
     };
     let start = Millis(1_000_000);
-    granter.set_share(part, |o| orgs.allowance(o), start);
+    allocator.set_share(share, |o| orgs.allowance(o), start);
     let mut credits = Credits::default();
-    let me = SocketAddr::from(([10, 0, 0, 1], 7_000));
+    let own_address = SocketAddr::from(([10, 0, 0, 1], 7_000));
     let mut admitted = 0;
-    let begun = Instant::now();
-    for (number, key) in shown.iter().enumerate() {
+    let started = Instant::now();
+    for (number, key) in keys.iter().enumerate() {
         let now = start.plus(1_000 + number as u64 / 100);
-        let rule = orgs.find(&KeyHash::from_key(key)).expect("a known key");
-        let allowance = rule.allowance.expect("a limit");
+        let rule = orgs
+            .find(&KeyHash::from_key(key))
+            .expect("the key is known");
+        let allowance = rule.allowance.expect("the organisation has an allowance");
         let cost = rule.cost(Some(1_800));
-        let mut draw = GrantRequest::new(rule.name.clone(), cost, &[me]);
-        let mut step = draw.next_step(&mut credits, now);
-        if step == GrantStep::Query(me) {
-            let grant = granter.request(&rule.name, &allowance, cost, u64::MAX, now);
-            step = draw.on_grant(grant, &mut credits, now);
+        let mut request = GrantRequest::new(rule.name.clone(), cost, &[own_address]);
+        let mut step = request.next_step(&mut credits, now);
+        if step == GrantStep::Query(own_address) {
+            let grant = allocator.request(&rule.name, &allowance, cost, u64::MAX, now);
+            step = request.on_grant(grant, &mut credits, now);
         }
         admitted += usize::from(black_box(step) == GrantStep::Admit);
     }
-    let us = begun.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
-    assert_eq!(admitted, DECISIONS, "all are below their allowance");
-    Decision {
+    let us = started.elapsed().as_secs_f64() * 1e6 / DECISIONS as f64;
+    assert_eq!(
+        admitted, DECISIONS,
+        "all organisations are below their allowance"
+    );
+    DecisionCost {
         orgs: count,
         us,
         kb,
     }
 }
 
-/// Measures at all sizes.
-pub fn run() -> Vec<Decision> {
+/// Measures at each number of organisations.
+pub fn run() -> Vec<DecisionCost> {
     SIZES.into_iter().map(measure).collect()
 }
--- a/crates/bench/src/allowance_ways.rs
+++ b/crates/bench/src/allowance_strategies.rs
@@ -1,4 +1,4 @@
-//! The ways to hold organisations to their allowances that `allowances` compares.
+//! The strategies to enforce allowances that `allowances` compares.
 
 use crate::allowances::{State, CENTRES, TOLERANCE};
 use rand::rngs::SmallRng;
@@ -10,40 +10,40 @@
 use shaleline_types::Millis;
 use std::net::SocketAddr;
 
-/// How daemons divide allowances.
-pub(crate) trait Way {
+/// How daemons share the allowances of organisations.
+pub(crate) trait Strategy {
     fn name(&self) -> &'static str;
-    /// What time alone brings about.
+    /// Runs the periodic work.
     fn tick(&mut self, state: &State);
-    /// A daemon starts again and knows nothing.
+    /// Restarts a daemon, which loses its state.
     fn restart(&mut self, state: &State, daemon: usize);
-    /// Whether a daemon lets a request in.
+    /// Returns whether a daemon admits a request.
     fn admit(&mut self, state: &State, daemon: usize, org: usize, cost: u64) -> bool;
-    /// Messages sent, and requests that waited for another daemon.
-    fn spent(&self) -> (u64, u64);
+    /// Returns the messages sent and the requests that waited for another daemon.
+    fn message_counts(&self) -> (u64, u64);
 }
 
-/// Each daemon has the same part.
-pub(crate) struct Equal(Vec<Allocator>);
+/// Each daemon enforces an equal share of each allowance.
+pub(crate) struct EqualShares(Vec<Allocator>);
 
-impl Equal {
+impl EqualShares {
     pub(crate) fn new(daemons: usize) -> Self {
         Self((0..daemons).map(|_| Allocator::new(TOLERANCE)).collect())
     }
 }
 
-impl Way for Equal {
+impl Strategy for EqualShares {
     fn name(&self) -> &'static str {
         "equal"
     }
 
     fn tick(&mut self, state: &State) {
-        let part = AllocatorShare {
+        let share = AllocatorShare {
             fraction: 1.0 / state.daemons as f64,
             daemons: state.daemons,
         };
-        for granter in &mut self.0 {
-            granter.set_share(part, |o| state.limit_of(o), state.now);
+        for allocator in &mut self.0 {
+            allocator.set_share(share, |o| state.limit_of(o), state.now);
         }
     }
 
@@ -57,36 +57,37 @@
         matches!(grant, GrantResponse::Granted(_))
     }
 
-    fn spent(&self) -> (u64, u64) {
+    fn message_counts(&self) -> (u64, u64) {
         (0, 0)
     }
 }
 
-/// A bucket that a daemon fills from its part; an answer may put it into debt.
+/// A token bucket that refills at the rate of the daemon's share; the cost of an answer may
+/// make it negative.
 #[derive(Clone, Copy)]
-struct Level {
+struct Bucket {
     tokens: f64,
     last: Millis,
 }
 
-/// Each daemon has the same part and lends what is idle: `ShareBook`.
+/// Each daemon has an equal share and lends the idle part of it, with `ShareBook`.
 pub(crate) struct Loans {
     books: Vec<ShareBook>,
-    levels: Vec<Vec<Level>>,
+    buckets: Vec<Vec<Bucket>>,
     rng: SmallRng,
     messages: u64,
     waited: u64,
 }
 
-/// How many others are asked for a loan.
-const ASKED: usize = 2;
+/// Number of daemons that a request tries to borrow from.
+const LENDERS: usize = 2;
 
 impl Loans {
     pub(crate) fn new(daemons: usize, seed: u64) -> Self {
         let book = |d: usize| ShareBook::joining(&d.to_string(), Millis(1_000_000));
         Self {
             books: (0..daemons).map(book).collect(),
-            levels: vec![Vec::new(); daemons],
+            buckets: vec![Vec::new(); daemons],
             rng: SmallRng::seed_from_u64(seed),
             messages: 0,
             waited: 0,
@@ -96,26 +97,26 @@
     fn try_take(&mut self, state: &State, daemon: usize, org: usize, cost: u64) -> bool {
         let limit = state.limits[org].rate as u64;
         let (name, now) = (&state.orgs[org], state.now);
-        let part = self.books[daemon].share(name, LimitKind::Tokens, limit, now) as f64;
-        let fresh = Level {
-            tokens: part,
+        let share = self.books[daemon].share(name, LimitKind::Tokens, limit, now) as f64;
+        let full = Bucket {
+            tokens: share,
             last: now,
         };
-        let levels = &mut self.levels[daemon];
-        levels.resize(state.orgs.len(), fresh);
-        let level = &mut levels[org];
-        let gained = now.since(level.last) as f64 * part / 1_000.0;
-        level.tokens = (level.tokens + gained).min(part);
-        level.last = now;
-        let admits = part > 0.0 && level.tokens >= 1.0;
-        if admits {
-            level.tokens -= cost as f64;
+        let buckets = &mut self.buckets[daemon];
+        buckets.resize(state.orgs.len(), full);
+        let bucket = &mut buckets[org];
+        let gained = now.since(bucket.last) as f64 * share / 1_000.0;
+        bucket.tokens = (bucket.tokens + gained).min(share);
+        bucket.last = now;
+        let admitted = share > 0.0 && bucket.tokens >= 1.0;
+        if admitted {
+            bucket.tokens -= cost as f64;
         }
-        admits
+        admitted
     }
 }
 
-impl Way for Loans {
+impl Strategy for Loans {
     fn name(&self) -> &'static str {
         "loans"
     }
@@ -126,9 +127,10 @@
         }
         let names: Vec<String> = (0..state.daemons).map(|d| d.to_string()).collect();
         for (daemon, book) in self.books.iter_mut().enumerate() {
-            let near =
-                |other: usize| other == daemon || (state.in_touch(daemon) && state.in_touch(other));
-            let members = (0..state.daemons).filter(|d| near(*d));
+            let local = |other: usize| {
+                other == daemon || (state.is_connected(daemon) && state.is_connected(other))
+            };
+            let members = (0..state.daemons).filter(|d| local(*d));
             let members: Vec<&str> = members.map(|d| names[d].as_str()).collect();
             book.set_members(&members, state.now);
             book.prune(state.now);
@@ -137,7 +139,7 @@
 
     fn restart(&mut self, state: &State, daemon: usize) {
         self.books[daemon] = ShareBook::joining(&daemon.to_string(), state.now);
-        self.levels[daemon].clear();
+        self.buckets[daemon].clear();
     }
 
     fn admit(&mut self, state: &State, daemon: usize, org: usize, cost: u64) -> bool {
@@ -152,38 +154,39 @@
             concurrency: u64::MAX,
             tokens: rate,
         };
-        for _ in 0..ASKED {
+        for _ in 0..LENDERS {
             let lender = self.rng.random_range(0..state.daemons);
             self.messages += 2;
-            if lender == daemon || !state.in_touch(lender) || !state.in_touch(daemon) {
+            if lender == daemon || !state.is_connected(lender) || !state.is_connected(daemon) {
                 continue;
             }
-            let used = self.levels[lender].get(org);
-            let used = used.map_or(0.0, |l| (-l.tokens).max(0.0)) as u64;
+            let used = self.buckets[lender].get(org);
+            let used = used.map_or(0.0, |b| (-b.tokens).max(0.0)) as u64;
             let lent = self.books[lender].lend(name, LimitKind::Tokens, &limits, used, now);
             self.books[daemon].borrow(name, LimitKind::Tokens, lent, now);
         }
         self.try_take(state, daemon, org, cost)
     }
 
-    fn spent(&self) -> (u64, u64) {
+    fn message_counts(&self) -> (u64, u64) {
         (self.messages, self.waited)
     }
 }
 
-/// One daemon of each data centre grants: `Allocator` and `Credits`.
+/// One daemon of each data centre allocates, with `Allocator` and `Credits`.
 pub(crate) struct Grants {
-    granters: Vec<Allocator>,
+    allocators: Vec<Allocator>,
     credits: Vec<Credits>,
     hubs: Vec<Option<usize>>,
-    /// Since when the daemons of each data centre take another one for their hub.
-    moved: Vec<Millis>,
+    /// When the hub of each data centre was last connected or was replaced.
+    hub_seen: Vec<Millis>,
     messages: u64,
     waited: u64,
 }
 
-/// A hub that does not answer is passed over after so long, and counts no daemon before.
-const SILENT_MS: u64 = 1_200;
+/// Time until an unreachable hub is replaced; until then no daemon of its data centre has a
+/// share.
+const HUB_TIMEOUT_MS: u64 = 1_200;
 
 fn address(daemon: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (daemon / 250) as u8, (daemon % 250) as u8], 7_000))
@@ -192,16 +195,16 @@
 impl Grants {
     pub(crate) fn new(daemons: usize) -> Self {
         Self {
-            granters: (0..daemons).map(|_| Allocator::new(TOLERANCE)).collect(),
+            allocators: (0..daemons).map(|_| Allocator::new(TOLERANCE)).collect(),
             credits: (0..daemons).map(|_| Credits::default()).collect(),
             hubs: (0..CENTRES).map(Some).collect(),
-            moved: vec![Millis(0); CENTRES],
+            hub_seen: vec![Millis(0); CENTRES],
             messages: 0,
             waited: 0,
         }
     }
 
-    fn granters_for(&self, daemon: usize) -> Vec<usize> {
+    fn allocators_for(&self, daemon: usize) -> Vec<usize> {
         let own = daemon % CENTRES;
         let others = (0..CENTRES).filter(|c| *c != own);
         let hubs = [own].into_iter().chain(others);
@@ -213,71 +216,71 @@
     }
 }
 
-impl Way for Grants {
+impl Strategy for Grants {
     fn name(&self) -> &'static str {
         "grants"
     }
 
     fn tick(&mut self, state: &State) {
         for centre in 0..CENTRES {
-            let near: Vec<usize> = (centre..state.daemons).step_by(CENTRES).collect();
-            let lost = self.hubs[centre].is_none_or(|h| !state.in_touch(h));
+            let local: Vec<usize> = (centre..state.daemons).step_by(CENTRES).collect();
+            let lost = self.hubs[centre].is_none_or(|h| !state.is_connected(h));
             if !lost {
-                self.moved[centre] = state.now;
-            } else if state.now.since(self.moved[centre]) >= SILENT_MS {
-                self.hubs[centre] = near.iter().copied().find(|d| state.in_touch(*d));
-                self.moved[centre] = state.now;
+                self.hub_seen[centre] = state.now;
+            } else if state.now.since(self.hub_seen[centre]) >= HUB_TIMEOUT_MS {
+                self.hubs[centre] = local.iter().copied().find(|d| state.is_connected(*d));
+                self.hub_seen[centre] = state.now;
             }
-            for daemon in &near {
+            for daemon in &local {
                 let votes = match self.hubs[centre] {
-                    Some(hub) if hub == *daemon && state.in_touch(hub) => {
-                        near.iter().filter(|d| state.in_touch(**d)).count()
+                    Some(hub) if hub == *daemon && state.is_connected(hub) => {
+                        local.iter().filter(|d| state.is_connected(**d)).count()
                     }
-                    // Cut off it counts for itself.
-                    _ => usize::from(state.cut[*daemon]),
+                    // An isolated daemon counts only itself.
+                    _ => usize::from(state.isolated[*daemon]),
                 };
-                let part = AllocatorShare {
-                    fraction: votes as f64 / near.len() as f64 / CENTRES as f64,
+                let share = AllocatorShare {
+                    fraction: votes as f64 / local.len() as f64 / CENTRES as f64,
                     daemons: state.daemons,
                 };
-                self.granters[*daemon].set_share(part, |o| state.limit_of(o), state.now);
+                self.allocators[*daemon].set_share(share, |o| state.limit_of(o), state.now);
                 self.credits[*daemon].prune(state.now);
             }
         }
     }
 
     fn restart(&mut self, _: &State, daemon: usize) {
-        self.granters[daemon] = Allocator::new(TOLERANCE);
+        self.allocators[daemon] = Allocator::new(TOLERANCE);
         self.credits[daemon] = Credits::default();
     }
 
     fn admit(&mut self, state: &State, daemon: usize, org: usize, cost: u64) -> bool {
         let (name, limit) = (&state.orgs[org], state.limits[org]);
-        let granters = self.granters_for(daemon);
-        let addresses: Vec<SocketAddr> = granters.iter().map(|g| address(*g)).collect();
-        let mut draw = GrantRequest::new(name.clone(), cost, &addresses);
-        let mut step = draw.next_step(&mut self.credits[daemon], state.now);
-        let mut asked = false;
+        let allocators = self.allocators_for(daemon);
+        let addresses: Vec<SocketAddr> = allocators.iter().map(|a| address(*a)).collect();
+        let mut request = GrantRequest::new(name.clone(), cost, &addresses);
+        let mut step = request.next_step(&mut self.credits[daemon], state.now);
+        let mut remote_query = false;
         while let GrantStep::Query(at) = step {
-            let place = addresses.iter().position(|a| *a == at);
-            let granter = granters[place.expect("one of them")];
-            let remote = granter != daemon;
-            asked |= remote;
+            let index = addresses.iter().position(|a| *a == at);
+            let allocator = allocators[index.expect("the address is of an allocator")];
+            let remote = allocator != daemon;
+            remote_query |= remote;
             self.messages += 2 * u64::from(remote);
-            let reached = !remote || (state.in_touch(daemon) && state.in_touch(granter));
+            let reached = !remote || (state.is_connected(daemon) && state.is_connected(allocator));
             step = if reached {
                 let held = self.credits[daemon].held(name);
-                let grant = self.granters[granter].request(name, &limit, cost, held, state.now);
-                draw.on_grant(grant, &mut self.credits[daemon], state.now)
+                let grant = self.allocators[allocator].request(name, &limit, cost, held, state.now);
+                request.on_grant(grant, &mut self.credits[daemon], state.now)
             } else {
-                draw.next_step(&mut self.credits[daemon], state.now)
+                request.next_step(&mut self.credits[daemon], state.now)
             };
         }
-        self.waited += u64::from(asked);
+        self.waited += u64::from(remote_query);
         step == GrantStep::Admit
     }
 
-    fn spent(&self) -> (u64, u64) {
+    fn message_counts(&self) -> (u64, u64) {
         (self.messages, self.waited)
     }
 }
--- a/crates/bench/src/args.rs
+++ b/crates/bench/src/args.rs
@@ -11,16 +11,16 @@
 
   faults     randomised runs with the invariants checked
   compare    policies side by side on the same traces
-  slopes     what a unit of state, a message or a decision costs
-  plans      what plans for the users' engines cost, by their number
-  allowances ways to hold organisations to their allowances, side by side
-  overhead   what a daemon adds on the path
+  slopes     the cost of a unit of state, a message or a decision
+  plans      the cost of plans for the users' engines, by number of engines
+  allowances strategies that enforce organisations' allowances, side by side
+  overhead   the latency that a daemon adds to a request
 ";
 
 fn options() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "show this text");
-    options.optflag("", "json", "print figures for machines");
+    options.optflag("", "json", "print JSON");
     options.optflag("", "quick", "compare: five seeds");
     options.optopt("", "plots", "compare: write plots into this folder", "DIR");
     options.optopt("", "seeds", "faults: how many seeds (default 200)", "N");
@@ -31,11 +31,11 @@
         "faults: with this safeguard suspended",
         "NAME",
     );
-    options.optflag("", "list-safeguards", "faults: the safeguards");
+    options.optflag("", "list-safeguards", "faults: list the safeguards");
     options
 }
 
-/// Runs a command. Returns whether what it checks holds.
+/// Runs a command. Returns whether its checks passed.
 pub fn run(args: &[String]) -> Result<bool> {
     let options = options();
     let matches = options.parse(args)?;
@@ -54,7 +54,7 @@
             json: matches.opt_present("json"),
             plots: matches.opt_str("plots"),
         }),
-        other => bail!("no command {other:?}; see --help"),
+        other => bail!("unknown command {other:?}; see --help"),
     }
 }
 
@@ -64,7 +64,7 @@
         let found = Safeguard::ALL.iter().find(|s| s.as_str() == name);
         found
             .copied()
-            .ok_or_else(|| eyre!("no safeguard {name:?}; see --list-safeguards"))
+            .ok_or_else(|| eyre!("unknown safeguard {name:?}; see --list-safeguards"))
     };
     Ok(FaultArgs {
         seeds: matches.opt_get_default("seeds", 200)?,
--- a/crates/bench/src/compare.rs
+++ b/crates/bench/src/compare.rs
@@ -1,10 +1,10 @@
-//! `compare`: policies side by side on the same traces.
+//! `compare`: runs several policies on the same traces.
 
 use crate::fleet::capacity;
+use crate::simulation::{Ending, Outcome, Setup, Simulation};
 use crate::trace::{
-    arrivals, Arrival, Deployment, Experiment, EVENT_AT, EVENT_FOR, FLOODER, LENGTH,
+    arrivals, Arrival, Deployment, Experiment, DURATION_MS, EVENT_AT, EVENT_FOR, FLOOD_ORG,
 };
-use crate::world::{Ending, Outcome, Setup, World};
 use crate::{parallel, plot};
 use eyre::Result;
 use hdrhistogram::Histogram;
@@ -15,27 +15,27 @@
 const QUICK_SEEDS: u64 = 5;
 const FULL_SEEDS: u64 = 15;
 
-/// The share of the capacity that is asked for when nothing happens.
-const LOAD: f64 = 0.55;
+/// Offered load without an event, as a fraction of the capacity.
+const BASE_LOAD: f64 = 0.55;
 
-/// Mean cost of a request in engine work, in tokens: its tokens and its prompt's time.
+/// Mean cost of a request in tokens, including the time of its prompt.
 const MEAN_TOKENS: f64 = 60.0;
 
-/// What is compared.
+/// A policy to compare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Rival {
-    /// This system.
+pub enum PolicyKind {
+    /// The policy of this project.
     Shaleline,
-    /// Static placement, round robin.
+    /// Static placement and round-robin routing.
     Static,
-    /// Static placement, least loaded by report.
+    /// Static placement and routing to the upstream with the lowest reported load.
     LeastLoaded,
-    /// Swaps models by last use.
+    /// Evicts the least recently used models.
     Lru,
 }
 
-impl Rival {
+impl PolicyKind {
     const ALL: [Self; 4] = [Self::Shaleline, Self::Static, Self::LeastLoaded, Self::Lru];
 
     fn setup(self, deployment: Deployment) -> Setup {
@@ -68,12 +68,13 @@
     }
 }
 
-/// One run.
+/// The figures of one run.
 #[derive(Debug, Clone, Serialize)]
 struct Run {
     deployment: Deployment,
     experiment: Experiment,
-    rival: Rival,
+    #[serde(rename = "rival")]
+    policy: PolicyKind,
     seed: u64,
     requests: usize,
     attainment: f64,
@@ -86,7 +87,7 @@
     refused: usize,
     unknown: usize,
     lost: usize,
-    /// p95 of the first token of those that do not flood, while the event lasts.
+    /// p95 of the time to the first token, of the other organisations during the event.
     others_p95: u64,
 }
 
@@ -98,44 +99,45 @@
     /// The experiment.
     pub experiment: Experiment,
     /// The policy.
-    pub rival: Rival,
-    /// The share of requests that met their target.
+    #[serde(rename = "rival")]
+    pub policy: PolicyKind,
+    /// The fraction of requests that met their target.
     pub attainment: f64,
-    /// That share for each accelerator.
+    /// That fraction divided by the number of engines.
     pub per_accelerator: f64,
-    /// An upper bound of that share, from the trace.
+    /// An upper bound of that fraction, computed from the trace.
     pub ceiling: f64,
-    /// Loads during the traffic.
+    /// Number of loads during the traffic.
     pub moves: u64,
-    /// First token, milliseconds.
+    /// p50 of the time to the first token in milliseconds.
     pub first_p50: u64,
-    /// First token, milliseconds.
+    /// p95 of the time to the first token in milliseconds.
     pub first_p95: u64,
-    /// First token, milliseconds.
+    /// p99 of the time to the first token in milliseconds.
     pub first_p99: u64,
-    /// p95 of the first token of those that do not flood, while the event lasts.
+    /// p95 of the time to the first token, of the other organisations during the event.
     pub others_p95: u64,
-    /// Whole but late, of a thousand.
+    /// Complete but late requests per thousand.
     pub late: f64,
-    /// Refused as not run, of a thousand.
+    /// Requests refused as not run, per thousand.
     pub refused: f64,
-    /// Of unknown outcome, of a thousand.
+    /// Requests with an unknown outcome, per thousand.
     pub unknown: f64,
-    /// Without an answer, of a thousand.
+    /// Requests without an answer, per thousand.
     pub lost: f64,
 }
 
-/// What to compare.
+/// Arguments of `compare`.
 pub struct CompareArgs {
-    /// Few seeds.
+    /// Runs fewer seeds.
     pub quick: bool,
-    /// Print figures for machines.
+    /// Prints JSON.
     pub json: bool,
-    /// Write plots into this folder.
+    /// Writes plots into this folder.
     pub plots: Option<String>,
 }
 
-/// Runs all and prints.
+/// Runs the comparison and prints the medians.
 pub fn run(args: &CompareArgs) -> Result<bool> {
     let seeds = if args.quick { QUICK_SEEDS } else { FULL_SEEDS };
     let rows = rows(&run_all(seeds), seeds);
@@ -150,15 +152,15 @@
     for r in &rows {
         println!(
             "{:<10} {:<13} {:<12} {:.3} {:.4} {:.3} {:>6} {:>5} {:>5} {:>5} {:>5}  {:>5.1} {:>5.1} {:>4.1} {:>4.1}",
-            word(&r.deployment), word(&r.experiment), word(&r.rival), r.attainment, r.per_accelerator,
+            serialized_name(&r.deployment), serialized_name(&r.experiment), serialized_name(&r.policy), r.attainment, r.per_accelerator,
             r.ceiling, r.moves, r.first_p50, r.first_p95, r.first_p99, r.others_p95, r.late, r.refused, r.unknown, r.lost
         );
     }
     Ok(true)
 }
 
-/// A variant's name as it is serialized.
-pub fn word<T: Serialize>(value: &T) -> String {
+/// Returns the serialized name of a variant.
+pub fn serialized_name<T: Serialize>(value: &T) -> String {
     let value = serde_json::to_value(value).unwrap_or_default();
     value.as_str().unwrap_or_default().to_owned()
 }
@@ -166,20 +168,20 @@
 struct Job {
     deployment: Deployment,
     experiment: Experiment,
-    rival: Rival,
+    policy: PolicyKind,
     seed: u64,
 }
 
-/// Runs every combination. Each run depends on its seed alone.
+/// Runs every combination. The random numbers of a run depend only on its seed.
 fn run_all(seeds: u64) -> Vec<Run> {
     let mut jobs = Vec::new();
     for deployment in Deployment::ALL {
         for experiment in Experiment::ALL {
-            for rival in Rival::ALL {
+            for policy in PolicyKind::ALL {
                 jobs.extend((1..=seeds).map(|seed| Job {
                     deployment,
                     experiment,
-                    rival,
+                    policy,
                     seed,
                 }));
             }
@@ -190,19 +192,24 @@
 
 fn run_one(job: &Job) -> Run {
     let engines = job.deployment.engines() as f64;
-    let rate = capacity() * engines * LOAD / MEAN_TOKENS;
+    let rate = capacity() * engines * BASE_LOAD / MEAN_TOKENS;
     let trace = arrivals(job.deployment, job.experiment, job.seed, rate);
-    let setup = job.rival.setup(job.deployment);
-    let world = World::new(job.deployment, job.experiment, setup, job.seed);
-    let (outcomes, moves) = world.run(&trace);
+    let setup = job.policy.setup(job.deployment);
+    let simulation = Simulation::new(job.deployment, job.experiment, setup, job.seed);
+    let (outcomes, moves) = simulation.run(&trace);
     let count = |ending: Ending| outcomes.iter().filter(|o| o.ending == ending).count();
-    let first = firsts(outcomes.iter());
+    let first = first_token_times(outcomes.iter());
     let during = |o: &&Outcome| (EVENT_AT..EVENT_AT + EVENT_FOR).contains(&o.at);
-    let others = firsts(outcomes.iter().filter(during).filter(|o| o.org != FLOODER));
+    let others = first_token_times(
+        outcomes
+            .iter()
+            .filter(during)
+            .filter(|o| o.org != FLOOD_ORG),
+    );
     Run {
         deployment: job.deployment,
         experiment: job.experiment,
-        rival: job.rival,
+        policy: job.policy,
         seed: job.seed,
         requests: trace.len(),
         attainment: count(Ending::Met) as f64 / trace.len().max(1) as f64,
@@ -219,7 +226,7 @@
     }
 }
 
-fn firsts<'a>(outcomes: impl Iterator<Item = &'a Outcome>) -> Histogram<u64> {
+fn first_token_times<'a>(outcomes: impl Iterator<Item = &'a Outcome>) -> Histogram<u64> {
     let mut histogram = Histogram::new(3).expect("the precision is valid");
     for first in outcomes.filter_map(|o| o.first) {
         histogram.saturating_record(first);
@@ -227,23 +234,24 @@
     histogram
 }
 
-/// An upper bound of what any plan could attain: all engines as one, every model on it,
-/// nothing lost to prompts; work beyond a second's backlog is late.
+/// Returns an upper bound of the attainment of any plan: the engines count as one that
+/// holds every model and reads prompts in no time, and work beyond a backlog of one second
+/// is late.
 fn ceiling(trace: &[Arrival], engines: f64) -> f64 {
     const WINDOW: u64 = 1_000;
-    let windows = (LENGTH / WINDOW) as usize + 1;
+    let windows = (DURATION_MS / WINDOW) as usize + 1;
     let mut work = vec![0.0; windows];
     for arrival in trace {
         work[(arrival.at / WINDOW) as usize] += f64::from(arrival.tokens);
     }
-    let most = capacity() * engines;
+    let total_capacity = capacity() * engines;
     let (mut backlog, mut done, mut total) = (0.0, 0.0, 0.0);
     for w in work {
         total += w;
-        let asked: f64 = backlog + w;
-        let kept = asked.min(2.0 * most);
-        done += w - (asked - kept).max(0.0);
-        backlog = (kept - most).max(0.0);
+        let offered: f64 = backlog + w;
+        let accepted = offered.min(2.0 * total_capacity);
+        done += w - (offered - accepted).max(0.0);
+        backlog = (accepted - total_capacity).max(0.0);
     }
     if total > 0.0 {
         done / total
@@ -263,7 +271,7 @@
 }
 
 fn row(group: &[Run]) -> Row {
-    let of = |f: fn(&Run) -> f64| median(group.iter().map(f).collect());
+    let median_of = |f: fn(&Run) -> f64| median(group.iter().map(f).collect());
     let per_mille = |f: fn(&Run) -> usize| {
         median(
             group
@@ -273,19 +281,19 @@
         )
     };
     let first = &group[0];
-    let attainment = of(|r| r.attainment);
+    let attainment = median_of(|r| r.attainment);
     Row {
         deployment: first.deployment,
         experiment: first.experiment,
-        rival: first.rival,
+        policy: first.policy,
         attainment,
         per_accelerator: attainment / first.deployment.engines() as f64,
-        ceiling: of(|r| r.ceiling),
-        moves: of(|r| r.moves as f64) as u64,
-        first_p50: of(|r| r.first_p50 as f64) as u64,
-        first_p95: of(|r| r.first_p95 as f64) as u64,
-        first_p99: of(|r| r.first_p99 as f64) as u64,
-        others_p95: of(|r| r.others_p95 as f64) as u64,
+        ceiling: median_of(|r| r.ceiling),
+        moves: median_of(|r| r.moves as f64) as u64,
+        first_p50: median_of(|r| r.first_p50 as f64) as u64,
+        first_p95: median_of(|r| r.first_p95 as f64) as u64,
+        first_p99: median_of(|r| r.first_p99 as f64) as u64,
+        others_p95: median_of(|r| r.others_p95 as f64) as u64,
         late: per_mille(|r| r.late),
         refused: per_mille(|r| r.refused),
         unknown: per_mille(|r| r.unknown),
--- a/crates/bench/src/costs.rs
+++ b/crates/bench/src/costs.rs
@@ -1,6 +1,6 @@
-//! The subjects of `slopes`: each function gives what a size costs.
+//! The measurements of `slopes`: each function returns the cost at a size.
 
-use crate::rig::{open_org, ops};
+use crate::rig::{setup_ops, unlimited_org};
 use shaleline_border::{CacheEvents, UpstreamReport};
 use shaleline_config::{Change, ConfigMachine, Op};
 use shaleline_lease::LeaseBody;
@@ -21,8 +21,9 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// The shortest of several runs, in microseconds: what the work takes undisturbed.
-fn shortest(runs: usize, mut work: impl FnMut()) -> f64 {
+/// Returns the minimum time of several runs in microseconds, which is the least disturbed by
+/// other processes.
+fn min_time(runs: usize, mut work: impl FnMut()) -> f64 {
     let mut best = f64::MAX;
     for _ in 0..runs {
         let started = Instant::now();
@@ -32,7 +33,7 @@
     best
 }
 
-/// Applies records through a replica, as a daemon does.
+/// Appends records through a replica, as a daemon does, and returns their bytes.
 fn append<M: StateMachine>(replica: &mut Replica<M>, bodies: Vec<M::Body>) -> usize {
     let mut budget = AppendBudget::new(1_000_000, Millis(0));
     let mut bytes = 0;
@@ -61,39 +62,39 @@
     }
 }
 
-fn config_of(orgs: usize) -> Replica<ConfigMachine> {
+fn config_replica(orgs: usize) -> Replica<ConfigMachine> {
     let mut replica: Replica<ConfigMachine> = Replica::new(WriterId(1));
-    let setup = ops().expect("the rig's changes are valid");
+    let setup = setup_ops().expect("the setup changes are valid");
     let setup = setup
         .into_iter()
         .enumerate()
         .map(|(i, op)| change(i, None, op));
     append(&mut replica, setup.collect());
     let org = |i: usize| {
-        let org = open_org(&format!("org-{i}")).expect("the name is valid");
+        let org = unlimited_org(&format!("org-{i}")).expect("the name is valid");
         change(10 + i, None, Op::PutOrganisation(org))
     };
     append(&mut replica, (0..orgs).map(org).collect());
     assert!(
         replica.machine().organisations().len() > orgs,
-        "all were accepted"
+        "all changes were accepted"
     );
     replica
 }
 
 pub fn config_bytes(orgs: usize) -> f64 {
-    config_of(orgs).to_snapshot().bytes() as f64
+    config_replica(orgs).to_snapshot().bytes() as f64
 }
 
 pub fn config_cpu(orgs: usize) -> f64 {
     const CHANGES: usize = 20;
-    let mut replica = config_of(orgs);
+    let mut replica = config_replica(orgs);
     let mut number = 100_000;
     let work = || {
         let mut bodies = Vec::new();
         for i in 0..CHANGES {
             number += 1;
-            let org = open_org(&format!("org-{i}")).expect("the name is valid");
+            let org = unlimited_org(&format!("org-{i}")).expect("the name is valid");
             let base = replica
                 .machine()
                 .current_version(&format!("organisation/{}", org.name));
@@ -101,20 +102,23 @@
         }
         append(&mut replica, bodies);
     };
-    shortest(5, work) / CHANGES as f64
+    min_time(5, work) / CHANGES as f64
 }
 
 pub fn config_restore(orgs: usize) -> f64 {
-    let snapshot = config_of(orgs).to_snapshot();
-    shortest(5, || {
-        let mut fresh: Replica<ConfigMachine> = Replica::new(WriterId(2));
-        assert!(fresh.restore(&snapshot), "the snapshot is sound");
-        let view = shaleline_config::View::from_machine(fresh.machine(), fresh.next());
-        assert!(view.tenants().count() > orgs, "all are resolved");
+    let snapshot = config_replica(orgs).to_snapshot();
+    min_time(5, || {
+        let mut restored: Replica<ConfigMachine> = Replica::new(WriterId(2));
+        assert!(restored.restore(&snapshot), "the snapshot is valid");
+        let view = shaleline_config::View::from_machine(restored.machine(), restored.next());
+        assert!(
+            view.tenants().count() > orgs,
+            "all organisations are resolved"
+        );
     })
 }
 
-/// Resident memory of this process in kilobytes.
+/// Returns the resident memory of this process in kilobytes.
 pub fn resident_kb() -> f64 {
     const PAGE_KB: f64 = 4.0;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -125,20 +129,20 @@
     pages.unwrap_or(0.0) * PAGE_KB
 }
 
-/// What a state takes in memory: several copies, so that the allocator's own pages do
-/// not count for much.
+/// Returns the memory of a state in kilobytes, as the mean of several copies, which reduces
+/// the share of the memory allocator's own pages.
 fn memory_of<M: StateMachine>(replica: &Replica<M>) -> f64 {
     const COPIES: usize = 4;
     let snapshot = replica.to_snapshot();
     let before = resident_kb();
     let copies: Vec<_> = (0..COPIES).map(|_| snapshot.to_state::<M>()).collect();
-    let grown = (resident_kb() - before) / COPIES as f64;
-    assert!(copies.iter().all(Option::is_some), "the snapshot is sound");
-    grown
+    let growth = (resident_kb() - before) / COPIES as f64;
+    assert!(copies.iter().all(Option::is_some), "the snapshot is valid");
+    growth
 }
 
 pub fn config_memory(orgs: usize) -> f64 {
-    let full = config_of(100);
+    let full = config_replica(100);
     let mut machine = serde_json::to_value(full.machine()).unwrap_or_default();
     let one = machine["orgs"]["org-1"].clone();
     for i in 0..orgs {
@@ -155,9 +159,9 @@
     let copies: Vec<ConfigMachine> = (0..COPIES)
         .filter_map(|_| serde_json::from_str(&text).ok())
         .collect();
-    let grown = (resident_kb() - before) / COPIES as f64;
+    let growth = (resident_kb() - before) / COPIES as f64;
     assert!(copies.len() == COPIES, "the state parses");
-    grown
+    growth
 }
 
 fn once_records(keys: usize) -> Vec<OnceBody> {
@@ -184,7 +188,7 @@
     bodies
 }
 
-fn once_of(keys: usize) -> Replica<OnceMachine> {
+fn once_replica(keys: usize) -> Replica<OnceMachine> {
     let mut replica = Replica::new(WriterId(1));
     append(&mut replica, once_records(keys));
     replica
@@ -209,11 +213,11 @@
 }
 
 pub fn once_bytes(keys: usize) -> f64 {
-    once_of(keys).to_snapshot().bytes() as f64
+    once_replica(keys).to_snapshot().bytes() as f64
 }
 
 pub fn once_memory(keys: usize) -> f64 {
-    memory_of(&once_of(keys))
+    memory_of(&once_replica(keys))
 }
 
 fn engine_name(number: usize) -> Upstream {
@@ -225,11 +229,11 @@
     Item::base(&model, 1)
 }
 
-/// Models of which each engine holds four, as many as there are at the letter's size.
+/// Number of models at the reference size; each engine holds `MODELS_PER_ENGINE` of them.
 const MODELS: usize = 220;
-const HELD: usize = 4;
+const MODELS_PER_ENGINE: usize = 4;
 
-fn cell_of(engines: usize) -> Replica<CellMachine> {
+fn cell_replica(engines: usize) -> Replica<CellMachine> {
     let mut replica: Replica<CellMachine> = Replica::new(WriterId(1));
     let claim = CellBody::Lease(LeaseBody::Claim {
         instance: Instance::from_text("entry-1").expect("the name is valid"),
@@ -242,8 +246,13 @@
         incarnation: 1,
         memory: Megabytes(80_000),
         checks_fence: false,
-        resident: (0..HELD)
-            .map(|k| (model_item((i * HELD + k) % MODELS), Megabytes(15_000)))
+        resident: (0..MODELS_PER_ENGINE)
+            .map(|k| {
+                (
+                    model_item((i * MODELS_PER_ENGINE + k) % MODELS),
+                    Megabytes(15_000),
+                )
+            })
             .collect(),
         loading: BTreeMap::new(),
     };
@@ -252,11 +261,11 @@
 }
 
 pub fn cell_bytes(engines: usize) -> f64 {
-    cell_of(engines).to_snapshot().bytes() as f64
+    cell_replica(engines).to_snapshot().bytes() as f64
 }
 
 pub fn plan_cpu(engines: usize) -> f64 {
-    let replica = cell_of(engines);
+    let replica = cell_replica(engines);
     let centre =
         |i: usize| DataCentre::from_text(&format!("dc{}", i % 3)).expect("the name is valid");
     let view = |i: usize| EngineView {
@@ -266,11 +275,11 @@
     };
     let views = (0..engines).map(|i| (engine_name(i), view(i))).collect();
     let models = MODELS.min(engines * 2);
-    let want = |i: usize| DesiredItem {
+    let desired_item = |i: usize| DesiredItem {
         item: model_item(i),
         size: Megabytes(15_000),
     };
-    let wanted = DesiredItems::from_items((0..models).map(want));
+    let desired = DesiredItems::from_items((0..models).map(desired_item));
     let mut demand = Demand::default();
     for i in 0..models {
         let rate = engines as f64 * 1_000.0 / models as f64;
@@ -281,11 +290,11 @@
         );
     }
     let mut planner = Planner::default();
-    shortest(5, || {
+    min_time(5, || {
         let plan = PlanInput {
             ledgers: replica.machine().engines(),
             views: &views,
-            desired: &wanted,
+            desired: &desired,
             demand: &demand,
             load_limit: 4,
         };
@@ -325,8 +334,8 @@
     let work = || {
         for _ in 0..REQUESTS {
             next += 1;
-            let ask = ask(next, &route, now);
-            for action in router.step(RouteEvent::Arrive(Box::new(ask)), now) {
+            let request = request(next, &route, now);
+            for action in router.step(RouteEvent::Arrive(Box::new(request)), now) {
                 if let RouteAction::Send { id, attempt, .. } = action {
                     router.step(RouteEvent::FirstByte { id, attempt }, now);
                     let end = AttemptEnd::Whole;
@@ -335,11 +344,11 @@
             }
         }
     };
-    shortest(5, work) / REQUESTS as f64
+    min_time(5, work) / REQUESTS as f64
 }
 
-fn ask(number: u64, route: &Route, now: Millis) -> RouteRequest {
-    const PLENTY: u64 = 1 << 40;
+fn request(number: u64, route: &Route, now: Millis) -> RouteRequest {
+    const UNLIMITED: u64 = 1 << 40;
     RouteRequest {
         id: RequestId(number),
         org: Org::from_text("org").expect("the name is valid"),
@@ -352,17 +361,17 @@
         due: now.plus(10_000),
         repeatable: true,
         limits: Limits {
-            rate: PLENTY,
-            concurrency: PLENTY,
-            tokens: PLENTY,
+            rate: UNLIMITED,
+            concurrency: UNLIMITED,
+            tokens: UNLIMITED,
         },
         policy: RequestPolicy::default(),
         identity: None,
     }
 }
 
-fn report_of(items: usize) -> UpstreamReport {
-    let held = |i| Resident {
+fn upstream_report(items: usize) -> UpstreamReport {
+    let resident = |i| Resident {
         item: model_item(i),
         size: Megabytes(15_000),
     };
@@ -377,7 +386,7 @@
             memory: Megabytes(80_000),
             checks_fence: true,
             leaving: false,
-            resident: (0..items).map(held).collect(),
+            resident: (0..items).map(resident).collect(),
             loading: Vec::new(),
             orders: BTreeMap::new(),
         }),
@@ -386,16 +395,16 @@
 }
 
 pub fn report_bytes(items: usize) -> f64 {
-    serde_json::to_string(&report_of(items)).map_or(0.0, |t| t.len() as f64)
+    serde_json::to_string(&upstream_report(items)).map_or(0.0, |t| t.len() as f64)
 }
 
 pub fn report_cpu(items: usize) -> f64 {
     const READS: usize = 500;
-    let text = serde_json::to_string(&report_of(items)).unwrap_or_default();
+    let text = serde_json::to_string(&upstream_report(items)).unwrap_or_default();
     let work = || {
         for _ in 0..READS {
             std::hint::black_box(serde_json::from_str::<UpstreamReport>(&text).is_ok());
         }
     };
-    shortest(5, work) / READS as f64
+    min_time(5, work) / READS as f64
 }
--- a/crates/bench/src/faults.rs
+++ b/crates/bench/src/faults.rs
@@ -1,4 +1,4 @@
-//! `faults`: randomised runs with the invariants checked.
+//! `faults`: randomised fault injection with invariant checks.
 
 use crate::parallel;
 use eyre::Result;
@@ -6,20 +6,20 @@
 use shaleline_types::Safeguard;
 use std::ops::RangeInclusive;
 
-/// The most violations that are printed one by one.
-const MOST_SHOWN: usize = 10;
+/// Maximum number of violations that are printed.
+const MAX_SHOWN: usize = 10;
 
-/// What to run.
+/// Arguments of `faults`.
 pub struct FaultArgs {
-    /// How many seeds, from 1 on.
+    /// Number of seeds, starting at 1.
     pub seeds: u64,
-    /// This seed only.
+    /// Runs only this seed.
     pub seed: Option<u64>,
-    /// With this safeguard suspended.
+    /// Suspends this safeguard.
     pub without: Option<Safeguard>,
-    /// Print the safeguards instead.
+    /// Prints the safeguards and runs nothing.
     pub list: bool,
-    /// Print figures for machines.
+    /// Prints JSON.
     pub json: bool,
 }
 
@@ -49,7 +49,7 @@
     Ok(tally.violations().is_empty())
 }
 
-/// Runs every subject from every seed.
+/// Runs every subject with every seed.
 fn run_seeds(seeds: RangeInclusive<u64>) -> Tally {
     let seeds: Vec<u64> = seeds.collect();
     let mut tally = Tally::default();
@@ -73,14 +73,14 @@
         "steps", "faults", "checks", "violations"
     );
     for invariant in Invariant::ALL {
-        let o = tally.outcome(*invariant);
+        let outcome = tally.outcome(*invariant);
         let text = invariant.as_str();
         println!(
             "{:>10} {:>9} {:>11} {:>10}  {text}",
-            o.steps, o.faults, o.checks, o.violations
+            outcome.steps, outcome.faults, outcome.checks, outcome.violations
         );
     }
-    for violation in tally.violations().iter().take(MOST_SHOWN) {
+    for violation in tally.violations().iter().take(MAX_SHOWN) {
         println!(
             "seed {} step {}: {}: {}",
             violation.seed,
--- a/crates/bench/src/fit.rs
+++ b/crates/bench/src/fit.rs
@@ -1,8 +1,8 @@
-//! A straight line through measured points.
+//! Linear regression over measured points.
 
 use serde::Serialize;
 
-/// A measured point: a size and what it cost.
+/// A measured point: a size and its cost.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Point {
     /// The size.
@@ -11,7 +11,7 @@
     pub y: f64,
 }
 
-/// The least-squares line, with the standard error of its slope.
+/// A least-squares line with the standard error of its slope.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Fit {
     /// Cost at size zero.
@@ -32,10 +32,10 @@
     let sxy: f64 = points.iter().map(|p| (p.x - mx) * (p.y - my)).sum();
     let slope = sxy / sxx;
     let base = my - slope * mx;
-    let rest: f64 = points
+    let residual: f64 = points
         .iter()
         .map(|p| (p.y - base - slope * p.x).powi(2))
         .sum();
-    let error = (rest / (n - 2.0).max(1.0) / sxx).sqrt();
+    let error = (residual / (n - 2.0).max(1.0) / sxx).sqrt();
     Fit { base, slope, error }
 }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,45 +1,45 @@
-//! Small fakes of engines under a passed-in clock, for the experiments.
+//! Simulated engines with an injected clock.
 
 use shaleline_place::{Item, Order};
 use shaleline_standin::{EngineSpec, EngineState, Pace};
 use shaleline_types::{DataCentre, Megabytes, Offset, RequestId, Upstream};
 use std::collections::VecDeque;
 
-/// Sequences that an engine runs at once.
+/// Maximum number of concurrent sequences of an engine.
 pub const SLOTS: usize = 16;
 
-/// Milliseconds of a step with one sequence, and what each further one adds.
-const STEP: f64 = 20.0;
-const MORE: f64 = 0.6;
+/// Duration of a step with one sequence, and the increase per further sequence.
+const STEP_MS: f64 = 20.0;
+const STEP_MS_PER_SEQUENCE: f64 = 0.6;
 
-/// Milliseconds to read a block that is not cached.
-const BLOCK: f64 = 8.0;
+/// Time to read a prompt block that is not cached.
+const BLOCK_MS: f64 = 8.0;
 
-/// Milliseconds to load a gigabyte.
-const GIGABYTE: f64 = 400.0;
+/// Time to load a gigabyte of weights.
+const LOAD_MS_PER_GB: f64 = 400.0;
 
-/// Tokens a second of a full engine.
+/// Tokens per second of an engine with all slots in use.
 pub fn capacity() -> f64 {
-    SLOTS as f64 * 1_000.0 / (STEP + MORE * (SLOTS as f64 - 1.0))
+    SLOTS as f64 * 1_000.0 / (STEP_MS + STEP_MS_PER_SEQUENCE * (SLOTS as f64 - 1.0))
 }
 
 /// A sequence at an engine.
 #[derive(Debug, Clone)]
 pub struct Sequence {
-    /// The daemon that sent it.
+    /// The daemon that sent the sequence.
     pub daemon: usize,
     /// The request.
     pub id: RequestId,
     /// The attempt.
     pub attempt: u32,
-    /// What it runs on.
+    /// The item that the sequence runs on.
     pub item: Item,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
     /// Keys of the prompt's blocks.
     pub blocks: Vec<u64>,
-    /// Tokens still to come.
-    pub left: u32,
+    /// Number of tokens not yet generated.
+    pub remaining: u32,
     prompt: f64,
     progress: f64,
     started: bool,
@@ -47,16 +47,22 @@
 }
 
 impl Sequence {
-    /// A sequence that has not started, with so many tokens to come.
-    pub fn new(to: Sent, item: Item, priority: u8, blocks: Vec<u64>, left: u32) -> Self {
+    /// Creates a sequence that has not started.
+    pub fn new(
+        key: AttemptKey,
+        item: Item,
+        priority: u8,
+        blocks: Vec<u64>,
+        remaining: u32,
+    ) -> Self {
         Self {
-            daemon: to.daemon,
-            id: to.id,
-            attempt: to.attempt,
+            daemon: key.daemon,
+            id: key.id,
+            attempt: key.attempt,
             item,
             priority,
             blocks,
-            left,
+            remaining,
             prompt: 0.0,
             progress: 0.0,
             started: false,
@@ -65,9 +71,9 @@
     }
 }
 
-/// Which send of which daemon.
+/// Identifies an attempt of a daemon.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
+pub struct AttemptKey {
     /// The daemon.
     pub daemon: usize,
     /// The request.
@@ -76,20 +82,20 @@
     pub attempt: u32,
 }
 
-/// What an engine tells of a sequence.
+/// An event of a sequence at an engine.
 #[derive(Debug, Clone, Copy)]
-pub enum Told {
-    /// So many tokens, and whether they include the first.
+pub enum EngineEvent {
+    /// The number of generated tokens, and whether they include the first one.
     Tokens(u32, bool),
-    /// The answer is whole.
+    /// The answer is complete.
     Whole,
-    /// It was refused: the item is not loaded.
+    /// The sequence was refused because the item is not loaded.
     Refused,
-    /// It broke off.
+    /// The sequence was interrupted.
     Broken,
 }
 
-/// What is told to whom.
+/// An event and the daemon that receives it.
 #[derive(Debug, Clone, Copy)]
 pub struct Message {
     /// The daemon.
@@ -98,26 +104,26 @@
     pub id: RequestId,
     /// The attempt.
     pub attempt: u32,
-    /// What.
-    pub told: Told,
+    /// The event.
+    pub event: EngineEvent,
 }
 
 struct Loading {
     due: u64,
-    life: u64,
+    incarnation: u64,
     number: Offset,
     item: Item,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
-    /// Memory, orders and cache.
+    /// State of the memory, orders and cache.
     pub state: EngineState,
-    /// Whether it takes requests and answers none.
+    /// Whether the engine accepts requests and answers none.
     pub hung: bool,
-    /// Whether it is gone.
+    /// Whether the engine has crashed.
     pub dead: bool,
-    /// Loads that were begun.
+    /// Number of loads started.
     pub loads: u64,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
@@ -125,7 +131,7 @@
 }
 
 impl Engine {
-    /// A fresh engine.
+    /// Creates an engine that holds nothing.
     pub fn new(index: usize, memory: Megabytes, seed: u64) -> Self {
         let spec = EngineSpec {
             name: Upstream::from_text(&format!("engine-{index:02}")).expect("the name is valid"),
@@ -136,9 +142,9 @@
             slots: SLOTS,
             blocks: 512,
             pace: Pace {
-                block: BLOCK,
-                step: STEP,
-                more: MORE,
+                block: BLOCK_MS,
+                step: STEP_MS,
+                more: STEP_MS_PER_SEQUENCE,
             },
         };
         Self {
@@ -152,55 +158,56 @@
         }
     }
 
-    /// How many sequences run and wait.
+    /// Returns the numbers of running and waiting sequences.
     pub fn load(&self) -> (usize, usize) {
         (self.running.len(), self.waiting.len())
     }
 
-    /// Takes an order. `crowd` is how many loads run in the whole system.
-    pub fn order(&mut self, order: &Order, now: u64, crowd: f64) {
+    /// Accepts an order. `slowdown` is the factor by which the concurrent loads of the system
+    /// slow a load; values below 1 count as 1.
+    pub fn order(&mut self, order: &Order, now: u64, slowdown: f64) {
         if let Some((item, size)) = self.state.take(order) {
             self.loads += 1;
-            let takes = size.0 as f64 / 1_000.0 * GIGABYTE * crowd.max(1.0);
+            let duration = size.0 as f64 / 1_000.0 * LOAD_MS_PER_GB * slowdown.max(1.0);
             self.loading.push(Loading {
-                due: now + takes as u64,
-                life: self.state.incarnation(),
+                due: now + duration as u64,
+                incarnation: self.state.incarnation(),
                 number: order.number,
                 item,
             });
         }
     }
 
-    /// How many loads run here.
+    /// Returns the number of running loads.
     pub fn loading(&self) -> usize {
         self.loading.len()
     }
 
-    /// Takes a sequence.
+    /// Accepts or refuses a sequence.
     pub fn take(&mut self, sequence: Sequence, out: &mut Vec<Message>) {
         if self.dead {
-            return out.push(message(&sequence, Told::Broken));
+            return out.push(message(&sequence, EngineEvent::Broken));
         }
         if !self.state.serves(&sequence.item) {
-            return out.push(message(&sequence, Told::Refused));
+            return out.push(message(&sequence, EngineEvent::Refused));
         }
-        let place = self
+        let position = self
             .waiting
             .iter()
             .position(|w| w.priority > sequence.priority);
-        match place {
-            Some(place) => self.waiting.insert(place, sequence),
+        match position {
+            Some(position) => self.waiting.insert(position, sequence),
             None => self.waiting.push_back(sequence),
         }
     }
 
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     pub fn cancel(&mut self, id: RequestId, attempt: u32) {
-        let other = |s: &Sequence| s.id != id || s.attempt != attempt;
-        self.waiting.retain(other);
+        let is_other = |s: &Sequence| s.id != id || s.attempt != attempt;
+        self.waiting.retain(is_other);
         let state = &mut self.state;
         self.running.retain(|s| {
-            let keep = other(s);
+            let keep = is_other(s);
             if !keep {
                 state.end(&s.item);
             }
@@ -208,16 +215,16 @@
         });
     }
 
-    /// It is gone with all that it ran.
-    pub fn die(&mut self, out: &mut Vec<Message>) {
+    /// Crashes the engine, which interrupts its sequences.
+    pub fn crash(&mut self, out: &mut Vec<Message>) {
         self.dead = true;
-        let gone = self.running.drain(..).chain(self.waiting.drain(..));
-        out.extend(gone.map(|s| message(&s, Told::Broken)));
+        let interrupted = self.running.drain(..).chain(self.waiting.drain(..));
+        out.extend(interrupted.map(|s| message(&s, EngineEvent::Broken)));
         self.state.restart();
         self.loading.clear();
     }
 
-    /// Time passes.
+    /// Advances the engine by `millis` to `now`.
     pub fn step(&mut self, now: u64, millis: u64, out: &mut Vec<Message>) {
         if self.dead {
             return;
@@ -225,7 +232,7 @@
         let state = &mut self.state;
         self.loading.retain(|l| {
             if l.due <= now {
-                state.end_load(l.life, l.number, &l.item);
+                state.end_load(l.incarnation, l.number, &l.item);
             }
             l.due > now
         });
@@ -243,27 +250,27 @@
             next.started = true;
             self.running.push(next);
         }
-        let step = STEP + MORE * (self.running.len() as f64 - 1.0);
+        let step = STEP_MS + STEP_MS_PER_SEQUENCE * (self.running.len() as f64 - 1.0);
         for sequence in &mut self.running {
             advance(sequence, millis as f64, step, out);
         }
         let state = &mut self.state;
         self.running.retain(|s| {
-            if s.left == 0 {
+            if s.remaining == 0 {
                 state.end(&s.item);
-                out.push(message(s, Told::Whole));
+                out.push(message(s, EngineEvent::Whole));
             }
-            s.left > 0
+            s.remaining > 0
         });
     }
 }
 
-fn message(sequence: &Sequence, told: Told) -> Message {
+fn message(sequence: &Sequence, event: EngineEvent) -> Message {
     Message {
         daemon: sequence.daemon,
         id: sequence.id,
         attempt: sequence.attempt,
-        told,
+        event,
     }
 }
 
@@ -274,13 +281,13 @@
     }
     sequence.progress += (millis - sequence.prompt) / step;
     sequence.prompt = 0.0;
-    let tokens = (sequence.progress as u32).min(sequence.left);
+    let tokens = (sequence.progress as u32).min(sequence.remaining);
     if tokens == 0 {
         return;
     }
     sequence.progress -= f64::from(tokens);
-    sequence.left -= tokens;
+    sequence.remaining -= tokens;
     let first = !sequence.answered;
     sequence.answered = true;
-    out.push(message(sequence, Told::Tokens(tokens, first)));
+    out.push(message(sequence, EngineEvent::Tokens(tokens, first)));
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,9 +1,9 @@
-//! Load, experiments and reports.
+//! Experiments and measurements.
 
 use std::process::ExitCode;
 
 mod admission;
-mod allowance_ways;
+mod allowance_strategies;
 mod allowances;
 mod args;
 mod compare;
@@ -16,10 +16,10 @@
 mod plans;
 mod plot;
 mod rig;
+mod simulation;
 mod slopes;
 mod spread;
 mod trace;
-mod world;
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -1,4 +1,4 @@
-//! `overhead`: what a daemon adds on the path, against calling the engine directly.
+//! `overhead`: the latency of a request via_daemon a daemon against a direct call of the engine.
 
 use crate::rig::{Rig, CALLER, MODEL};
 use awc::Client;
@@ -16,11 +16,11 @@
 const WARM_UP: usize = 300;
 const SEQUENTIAL: usize = 4_000;
 const LOAD_THREADS: usize = 3;
-const LOAD_LINES: usize = 24;
+const LOAD_CONNECTIONS: usize = 24;
 const LOAD_TIME: Duration = Duration::from_secs(5);
 const TOKENS: u32 = 2;
 
-/// Latencies in microseconds, or a throughput.
+/// Latencies in microseconds and throughput in requests per second.
 #[derive(Debug, Serialize)]
 struct Figures {
     direct_p50_us: u64,
@@ -33,7 +33,7 @@
     daemon_per_second: f64,
 }
 
-/// Where a measurement sends its requests.
+/// The destination of the measured requests.
 #[derive(Debug, Clone)]
 enum Target {
     Engine(SocketAddr),
@@ -41,8 +41,8 @@
 }
 
 impl Target {
-    /// Makes one request and waits for its whole answer.
-    async fn ask(&self, client: &Client, number: u64) -> Result<()> {
+    /// Sends one request and waits for its whole answer.
+    async fn send(&self, client: &Client, number: u64) -> Result<()> {
         let sent = match self {
             Self::Engine(address) => {
                 let request = Generate {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Measures and prints.
+/// Measures and prints the figures.
 pub fn run(as_json: bool) -> Result<bool> {
     let figures = actix_rt::System::new().block_on(measure())?;
     if as_json {
@@ -100,19 +100,19 @@
     let mut rig = Rig::start(1, 4, 2).await?;
     rig.set_up().await?;
     let daemon = Target::Daemon(rig.daemons[0].caller);
-    let engine = Target::Engine(holder(&rig).await?);
+    let engine = Target::Engine(find_holder(&rig).await?);
     let direct = sequential(&engine).await?;
-    let through = sequential(&daemon).await?;
+    let via_daemon = sequential(&daemon).await?;
     let direct_rate = load(&engine)?;
     let daemon_rate = load(&daemon)?;
     rig.stop();
     let at = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q);
-    let added = |q: f64| at(&through, q) as i64 - at(&direct, q) as i64;
+    let added = |q: f64| at(&via_daemon, q) as i64 - at(&direct, q) as i64;
     Ok(Figures {
         direct_p50_us: at(&direct, 0.5),
         direct_p99_us: at(&direct, 0.99),
-        daemon_p50_us: at(&through, 0.5),
-        daemon_p99_us: at(&through, 0.99),
+        daemon_p50_us: at(&via_daemon, 0.5),
+        daemon_p99_us: at(&via_daemon, 0.99),
         added_p50_us: added(0.5),
         added_p99_us: added(0.99),
         direct_per_second: direct_rate,
@@ -120,24 +120,24 @@
     })
 }
 
-/// The engine that holds the model.
-async fn holder(rig: &Rig) -> Result<SocketAddr> {
+/// Returns the engine that holds the model.
+async fn find_holder(rig: &Rig) -> Result<SocketAddr> {
     let client = Client::default();
     for address in &rig.standins.engines {
-        if Target::Engine(*address).ask(&client, 1).await.is_ok() {
+        if Target::Engine(*address).send(&client, 1).await.is_ok() {
             return Ok(*address);
         }
     }
     Err(eyre!("no engine holds the model"))
 }
 
-/// One request after the other.
+/// Measures the latency of sequential requests.
 async fn sequential(target: &Target) -> Result<Histogram<u64>> {
     let client = Client::default();
     let mut histogram = Histogram::new(3)?;
     for i in 0..WARM_UP + SEQUENTIAL {
         let started = Instant::now();
-        target.ask(&client, i as u64).await?;
+        target.send(&client, i as u64).await?;
         if i >= WARM_UP {
             histogram.record(started.elapsed().as_micros() as u64)?;
         }
@@ -145,17 +145,18 @@
     Ok(histogram)
 }
 
-/// As many as go through, from a bounded number of lines for a bounded time.
+/// Measures the throughput of a fixed number of connections over a fixed time.
 fn load(target: &Target) -> Result<f64> {
     let threads: Vec<_> = (0..LOAD_THREADS)
         .map(|t| {
             let target = target.clone();
             std::thread::spawn(move || {
                 actix_rt::System::new().block_on(async move {
-                    let until = Instant::now() + LOAD_TIME;
-                    let lines =
-                        (0..LOAD_LINES).map(|l| line(&target, (t * LOAD_LINES + l) as u64, until));
-                    join_all(lines).await.into_iter().sum::<Result<u64>>()
+                    let deadline = Instant::now() + LOAD_TIME;
+                    let connections = (0..LOAD_CONNECTIONS).map(|c| {
+                        run_connection(&target, (t * LOAD_CONNECTIONS + c) as u64, deadline)
+                    });
+                    join_all(connections).await.into_iter().sum::<Result<u64>>()
                 })
             })
         })
@@ -167,11 +168,11 @@
     Ok(sum as f64 / LOAD_TIME.as_secs_f64())
 }
 
-async fn line(target: &Target, number: u64, until: Instant) -> Result<u64> {
+async fn run_connection(target: &Target, number: u64, deadline: Instant) -> Result<u64> {
     let client = Client::default();
     let mut count = 0;
-    while Instant::now() < until {
-        target.ask(&client, number * 1_000_000 + count).await?;
+    while Instant::now() < deadline {
+        target.send(&client, number * 1_000_000 + count).await?;
         count += 1;
     }
     Ok(count)
--- a/crates/bench/src/parallel.rs
+++ b/crates/bench/src/parallel.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Runs every job and returns the results in the jobs' order, so that the sum of what they
-/// do does not depend on which came first.
+/// Runs every job and returns the results in the order of the jobs, so that their sum does
+/// not depend on which job finishes first.
 pub fn run_all<J: Sync, R: Send>(jobs: &[J], work: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let results: Mutex<Vec<(usize, R)>> = Mutex::new(Vec::new());
--- a/crates/bench/src/plans.rs
+++ b/crates/bench/src/plans.rs
@@ -1,9 +1,9 @@
-//! What plans for the users' engines cost, by the number of engines.
+//! Measures the cost of plans for the users' engines, by number of engines.
 //!
-//! Plans follow each other four times a second while engines carry out what they are ordered:
-//! on a calm day, when demand has moved to other models, and when a quarter of the engines
-//! came back empty. Models and adapters are in proportion to the engines, as on the largest
-//! deployment that was measured.
+//! The planner runs four times per second while engines execute its orders, in three
+//! scenarios: constant demand, demand that has moved to other models, and a quarter of the
+//! engines restarted without models. Models and adapters are in proportion to the engines, as
+//! on the largest deployment.
 
 use crate::costs::resident_kb;
 use eyre::Result;
@@ -16,77 +16,77 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-/// The sizes of the table.
+/// Numbers of engines to measure.
 const SIZES: [usize; 5] = [15, 90, 245, 1_000, 12_000];
 
-/// What 245 engines have on the largest deployment.
+/// Engines, models and adapters of the largest deployment.
 const ENGINES: usize = 245;
 const MODELS: usize = 444;
 const ADAPTERS: usize = 1_171;
 
-/// The loads a second that the weight store bears there.
-const RATE: f64 = 34.0;
+/// Rate limit of its weight store in loads per second.
+const LOAD_RATE: f64 = 34.0;
 
-/// How many models an engine has room for.
-const HELD: usize = 3;
+/// Number of models that fit on an engine.
+const MODELS_PER_ENGINE: usize = 3;
 
-/// One model in so many has most of the requests: as many a second, all together, as fill
-/// two fifths of the engines.
-const HOT: usize = 9;
+/// Every ninth model is hot. Together the hot models use two fifths of the engines; these are
+/// the work and the number of requests of each, per second.
+const HOT_STEP: usize = 9;
 const HOT_WORK: f32 = 2_000.0;
 const HOT_COUNT: f32 = 20.0;
 
-/// One in so many of the adapters is asked for.
-const ASKED_ADAPTERS: usize = 4;
+/// Every fourth adapter of a hot model has requests.
+const ADAPTER_STEP: usize = 4;
 
-/// The time between two plans, and how many are measured.
-const PLAN_EVERY: u64 = 250;
+/// Interval between plans, and the number of measured plans.
+const PLAN_INTERVAL_MS: u64 = 250;
 const PLANS: usize = 40;
 
-/// One in so many engines is lost.
-const LOST: usize = 4;
+/// Every fourth engine is lost.
+const LOST_STEP: usize = 4;
 
-const START: u64 = 1_000_000;
+const START_MS: u64 = 1_000_000;
 
-/// What has happened before the plans.
+/// The event before the first plan.
 #[derive(Debug, Clone, Copy)]
-enum Scene {
+enum Scenario {
     Calm,
     Moved,
     Lost,
 }
 
-const SCENES: [(&str, Scene); 3] = [
-    ("calm", Scene::Calm),
-    ("demand moved", Scene::Moved),
-    ("a quarter lost", Scene::Lost),
+const SCENARIOS: [(&str, Scenario); 3] = [
+    ("calm", Scenario::Calm),
+    ("demand moved", Scenario::Moved),
+    ("a quarter lost", Scenario::Lost),
 ];
 
-/// Engines with what they were ordered.
-struct Play {
+/// Simulated engines and the orders that they execute.
+struct Simulation {
     catalog: Catalog,
     fleet: Fleet,
     planner: Planner,
     window: LoadWindow,
     rates: Rates,
-    /// What each engine holds, and its copies.
+    /// The models, adapters and disk copies of each engine.
     held: BTreeMap<Upstream, Held>,
-    /// Orders under way with when they end, in the order of their beginning.
-    work: VecDeque<(u64, Order)>,
+    /// Orders in execution with their end times, in the order of their start.
+    in_flight: VecDeque<(u64, Order)>,
     now: u64,
 }
 
 fn model(number: usize) -> Model {
-    Model::from_text(&format!("m{number}")).expect("a valid name")
+    Model::from_text(&format!("m{number}")).expect("the name is valid")
 }
 
 fn adapter(number: usize) -> Adapter {
-    Adapter::from_text(&format!("a{number}")).expect("a valid name")
+    Adapter::from_text(&format!("a{number}")).expect("the name is valid")
 }
 
 fn catalog(engines: usize, models: usize) -> Catalog {
     let adapters = engines * ADAPTERS / ENGINES;
-    let rule = |number| ModelProfile {
+    let profile = |number| ModelProfile {
         weights_size: Megabytes(70_000),
         store_time: Millis(8_000),
         disk_time: Millis(1_600),
@@ -95,25 +95,25 @@
         adapter_size: Megabytes(50),
     };
     Catalog {
-        models: (0..models).map(|m| (model(m), rule(m))).collect(),
+        models: (0..models).map(|m| (model(m), profile(m))).collect(),
         memory: Megabytes(220_000),
         adapter_slots: 8,
-        load_rate: RATE * engines as f64 / ENGINES as f64,
+        load_rate: LOAD_RATE * engines as f64 / ENGINES as f64,
         request_slots: 64,
         warm_memory: Megabytes(150_000),
         disk_space: Megabytes(440_000),
     }
 }
 
-fn rates(catalog: &Catalog, first: usize) -> Rates {
+fn rates(catalog: &Catalog, offset: usize) -> Rates {
     let models = catalog.models.len();
-    let hot = (first..models).step_by(HOT);
+    let hot = (offset..models).step_by(HOT_STEP);
     let mut rates = Rates::new();
     for number in hot {
         let (work, count) = (HOT_WORK, HOT_COUNT);
         rates.insert((model(number), None), Rate { work, count });
-        let asked = catalog.models[&model(number)].adapters.iter();
-        for adapter in asked.step_by(ASKED_ADAPTERS) {
+        let adapters = catalog.models[&model(number)].adapters.iter();
+        for adapter in adapters.step_by(ADAPTER_STEP) {
             let rate = Rate {
                 work: 50.0,
                 count: 0.5,
@@ -124,35 +124,39 @@
     rates
 }
 
-impl Play {
-    fn new(engines: usize, scene: Scene) -> Self {
+impl Simulation {
+    fn new(engines: usize, scenario: Scenario) -> Self {
         let models = engines * MODELS / ENGINES;
         let catalog = catalog(engines, models);
-        let first = match scene {
-            Scene::Calm | Scene::Lost => 0,
-            Scene::Moved => 1,
+        let offset = match scenario {
+            Scenario::Calm | Scenario::Lost => 0,
+            Scenario::Moved => 1,
         };
-        let mut play = Self {
-            rates: rates(&catalog, first),
+        let mut simulation = Self {
+            rates: rates(&catalog, offset),
             catalog,
             fleet: Fleet::default(),
             planner: Planner::new(PlanSettings::default()),
             window: LoadWindow::new(Millis(5_000), 1.1),
             held: BTreeMap::new(),
-            work: VecDeque::new(),
-            now: START,
+            in_flight: VecDeque::new(),
+            now: START_MS,
         };
-        // Every model stands on one engine; what room is left goes to those asked for.
-        let hot: Vec<usize> = (0..models).step_by(HOT).collect();
-        let places = (0..models).chain((0..).map(|n| hot[n % hot.len()]));
-        let mut places = places.take(engines * HELD);
+        // Every model is on one engine; the remaining room goes to the hot models.
+        let hot: Vec<usize> = (0..models).step_by(HOT_STEP).collect();
+        let slots = (0..models).chain((0..).map(|n| hot[n % hot.len()]));
+        let mut slots = slots.take(engines * MODELS_PER_ENGINE);
         for number in 0..engines {
-            let name = Upstream::from_text(&format!("e{number}")).expect("a valid name");
-            let lost = matches!(scene, Scene::Lost) && number % LOST == 0;
-            let mine: BTreeSet<Model> = places.by_ref().take(HELD).map(model).collect();
+            let name = Upstream::from_text(&format!("e{number}")).expect("the name is valid");
+            let lost = matches!(scenario, Scenario::Lost) && number % LOST_STEP == 0;
+            let assigned: BTreeSet<Model> =
+                slots.by_ref().take(MODELS_PER_ENGINE).map(model).collect();
             let held = Held {
-                models: mine.iter().map(|m| (m.clone(), BTreeSet::new())).collect(),
-                disk: mine,
+                models: assigned
+                    .iter()
+                    .map(|m| (m.clone(), BTreeSet::new()))
+                    .collect(),
+                disk: assigned,
                 ..Held::default()
             };
             let held = match lost {
@@ -162,34 +166,36 @@
                 },
                 false => held,
             };
-            play.held.insert(name.clone(), held.clone());
-            let centre = DataCentre::from_text("dc1").expect("a valid name");
-            let now = Millis(play.now);
-            play.fleet
+            simulation.held.insert(name.clone(), held.clone());
+            let centre = DataCentre::from_text("dc1").expect("the name is valid");
+            let now = Millis(simulation.now);
+            simulation
+                .fleet
                 .observe(&name, &centre, held, HeldSource::Listed, now);
         }
-        play
+        simulation
     }
 
-    /// Ends the orders whose time has come.
-    fn settle(&mut self) {
+    /// Completes the orders that are due.
+    fn finish_orders(&mut self) {
         let now = self.now;
-        let (done, open): (Vec<_>, Vec<_>) = self.work.drain(..).partition(|(at, _)| *at <= now);
-        self.work = open.into();
+        let (done, pending): (Vec<_>, Vec<_>) =
+            self.in_flight.drain(..).partition(|(at, _)| *at <= now);
+        self.in_flight = pending.into();
         for (_, order) in done {
             let Some(held) = self.held.get_mut(&order.engine) else {
                 continue;
             };
-            carry_out(held, &order);
+            apply_order(held, &order);
             self.fleet.report(&order.engine, held.clone(), Millis(now));
         }
     }
 
-    /// One plan; how long it took, in microseconds, and how many orders it gave.
+    /// Runs one plan. Returns its time in microseconds and its number of orders.
     fn step(&mut self) -> (f64, usize) {
-        self.settle();
+        self.finish_orders();
         let now = Millis(self.now);
-        let began = Instant::now();
+        let started = Instant::now();
         self.fleet.prune(now);
         let view = PlanView {
             catalog: &self.catalog,
@@ -203,40 +209,40 @@
             after_failure: false,
         };
         let orders = self.planner.plan(&view, &mut self.window, now);
-        let micros = began.elapsed().as_micros() as f64;
+        let micros = started.elapsed().as_micros() as f64;
         self.planner.take_notes();
         let count = orders.len();
         for order in orders {
-            self.give(order);
+            self.send_order(order);
         }
-        self.now += PLAN_EVERY;
+        self.now += PLAN_INTERVAL_MS;
         (micros, count)
     }
 
-    fn give(&mut self, order: Order) {
+    fn send_order(&mut self, order: Order) {
         let now = Millis(self.now);
         let Some(held) = self.held.get_mut(&order.engine) else {
             return;
         };
         held.seq += 1;
-        let rule = &self.catalog.models[&order.model];
-        let near = held.disk.contains(&order.model);
-        let takes = match (order.kind, &order.adapter) {
+        let profile = &self.catalog.models[&order.model];
+        let on_disk = held.disk.contains(&order.model);
+        let duration = match (order.kind, &order.adapter) {
             (_, Some(_)) => Millis(20),
             (OrderKind::Unload, None) => Millis(300),
-            (OrderKind::Load, None) if near => rule.disk_time,
+            (OrderKind::Load, None) if on_disk => profile.disk_time,
             (OrderKind::Load, None) => {
                 self.window.record(now);
-                rule.store_time
+                profile.store_time
             }
         };
         self.fleet.record_sent(&order, now);
         self.fleet.record_reply(&order, OrderReply::Accepted, now);
-        self.work.push_back((self.now + takes.0, order));
+        self.in_flight.push_back((self.now + duration.0, order));
     }
 }
 
-fn carry_out(held: &mut Held, order: &Order) {
+fn apply_order(held: &mut Held, order: &Order) {
     let adapters = held.models.get_mut(&order.model);
     match (order.kind, &order.adapter, adapters) {
         (OrderKind::Load, None, _) => {
@@ -256,25 +262,25 @@
     }
 }
 
-/// What the plans of one scene took.
+/// The figures of one scenario.
 struct Row {
     engines: usize,
-    scene: &'static str,
+    scenario: &'static str,
     median: f64,
     longest: f64,
     orders: usize,
     memory: f64,
 }
 
-fn measure(engines: usize, name: &'static str, scene: Scene) -> Row {
+fn measure(engines: usize, name: &'static str, scenario: Scenario) -> Row {
     let before = resident_kb();
-    let mut play = Play::new(engines, scene);
-    let steps: Vec<(f64, usize)> = (0..PLANS).map(|_| play.step()).collect();
+    let mut simulation = Simulation::new(engines, scenario);
+    let steps: Vec<(f64, usize)> = (0..PLANS).map(|_| simulation.step()).collect();
     let mut micros: Vec<f64> = steps.iter().map(|(t, _)| *t).collect();
     micros.sort_by(f64::total_cmp);
     Row {
         engines,
-        scene: name,
+        scenario: name,
         median: micros[PLANS / 2],
         longest: micros[PLANS - 1],
         orders: steps.iter().map(|(_, n)| n).sum(),
@@ -282,28 +288,32 @@
     }
 }
 
-/// Microseconds of the median plan while demand moves.
+/// Returns the median time of a plan in microseconds after demand has moved.
 pub fn cpu(engines: usize) -> f64 {
-    measure(engines, "demand moved", Scene::Moved).median
+    measure(engines, "demand moved", Scenario::Moved).median
 }
 
 /// Prints the table.
 ///
 /// # Errors
-/// Where it can't be written.
+/// None; the type is that of the other commands.
 pub fn run(as_json: bool) -> Result<bool> {
     let sizes = SIZES.iter();
-    let rows = sizes.flat_map(|n| SCENES.iter().map(|(name, scene)| measure(*n, name, *scene)));
+    let rows = sizes.flat_map(|n| {
+        SCENARIOS
+            .iter()
+            .map(|(name, scenario)| measure(*n, name, *scenario))
+    });
     for row in rows {
         if as_json {
-            let line = json!({"engines": row.engines, "scene": row.scene, "median_us": row.median,
+            let line = json!({"engines": row.engines, "scene": row.scenario, "median_us": row.median,
                 "longest_us": row.longest, "orders": row.orders, "memory_kb": row.memory});
             println!("{line}");
             continue;
         }
         println!(
             "{:>6} engines, {:15} median {:>9.0} us, longest {:>9.0} us, {:>6} orders, {:>8.0} KB",
-            row.engines, row.scene, row.median, row.longest, row.orders, row.memory
+            row.engines, row.scenario, row.median, row.longest, row.orders, row.memory
         );
     }
     Ok(true)
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,6 +1,6 @@
 //! Plots of a comparison, as SVG.
 
-use crate::compare::{word, Row};
+use crate::compare::{serialized_name, Row};
 use crate::trace::Deployment;
 use eyre::{eyre, Result};
 use plotters::prelude::*;
@@ -12,9 +12,9 @@
 pub fn write(folder: &str, rows: &[Row]) -> Result<()> {
     std::fs::create_dir_all(folder)?;
     for deployment in Deployment::ALL {
-        let own: Vec<&Row> = rows.iter().filter(|r| r.deployment == deployment).collect();
-        let path = format!("{folder}/attainment-{}.svg", word(&deployment));
-        draw(&path, &word(&deployment), &own).map_err(|e| eyre!("{path}: {e}"))?;
+        let selected: Vec<&Row> = rows.iter().filter(|r| r.deployment == deployment).collect();
+        let path = format!("{folder}/attainment-{}.svg", serialized_name(&deployment));
+        draw(&path, &serialized_name(&deployment), &selected).map_err(|e| eyre!("{path}: {e}"))?;
     }
     Ok(())
 }
@@ -34,7 +34,7 @@
         .build_cartesian_2d(0.0..groups as f64, 0.0..1.0)?;
     let names: Vec<String> = rows
         .chunks(COLOURS.len())
-        .map(|g| word(&g[0].experiment))
+        .map(|g| serialized_name(&g[0].experiment))
         .collect();
     chart
         .configure_mesh()
@@ -50,7 +50,10 @@
                 colour.filled(),
             )
         });
-        let name = rows.get(i).map(|r| word(&r.rival)).unwrap_or_default();
+        let name = rows
+            .get(i)
+            .map(|r| serialized_name(&r.policy))
+            .unwrap_or_default();
         let colour = *colour;
         chart
             .draw_series(bars)?
--- a/crates/bench/src/rig.rs
+++ b/crates/bench/src/rig.rs
@@ -1,4 +1,4 @@
-//! Daemons and stand-ins in this process, set up for a measurement.
+//! Daemons and stand-ins that run in this process for a measurement.
 
 use awc::Client;
 use eyre::{bail, eyre, Result};
@@ -17,14 +17,14 @@
 use std::time::{Duration, Instant};
 
 const OPERATOR: &str = "bench-operator-token";
-/// The caller's token on a rig.
+/// The token of the caller.
 pub const CALLER: &str = "bench-caller-token";
-/// The model that a rig serves.
+/// The model that the engines serve.
 pub const MODEL: &str = "bench-model";
-const UP: Duration = Duration::from_secs(30);
-const MANY: u64 = 1_000_000;
+const TIMEOUT: Duration = Duration::from_secs(30);
+const UNLIMITED: u64 = 1_000_000;
 
-/// Daemons and stand-ins.
+/// A running set of daemons and stand-ins.
 pub struct Rig {
     /// The stand-ins.
     pub standins: Standins,
@@ -50,8 +50,8 @@
 }
 
 impl Rig {
-    /// Brings up `daemons` daemons with `workers` serving threads each before `engines`
-    /// engines that take no time.
+    /// Starts `engines` engines that answer without delay and `daemons` daemons with
+    /// `workers` serving threads each, and waits until all daemons are ready.
     pub async fn start(daemons: usize, workers: usize, engines: usize) -> Result<Self> {
         let specs = (0..engines).map(engine).collect::<Result<_, _>>()?;
         let standins = Standins::start(StandinSettings {
@@ -81,8 +81,8 @@
                 .await
                 .is_ok_and(|a| a.status().is_success())
             {
-                if started.elapsed() > UP {
-                    bail!("a daemon is not ready");
+                if started.elapsed() > TIMEOUT {
+                    bail!("a daemon was not ready before the timeout");
                 }
                 actix_rt::time::sleep(Duration::from_millis(20)).await;
             }
@@ -120,13 +120,13 @@
         DaemonSettings::from_args(&args, &BTreeMap::new()).map_err(|e| eyre!("{e}"))
     }
 
-    /// Makes a change through the first daemon and returns the answer.
+    /// Submits a change to the first daemon and returns the answer.
     pub async fn change(&mut self, op: &Op, base: Option<u64>, wait: u64) -> Result<Value> {
         self.changes += 1;
         let body = json!({"id": format!("bench-{}", self.changes), "base": base, "op": op,
             "wait_ms": wait});
         let url = format!("http://{}/admin/changes", self.daemons[0].admin);
-        let client = Client::builder().timeout(UP).finish();
+        let client = Client::builder().timeout(TIMEOUT).finish();
         let sent = client
             .post(url)
             .bearer_auth(OPERATOR)
@@ -141,7 +141,7 @@
         bail!("{body}")
     }
 
-    /// The offset that a daemon has applied its configuration up to.
+    /// Returns the offset up to which a daemon has applied the configuration.
     pub async fn applied(&self, index: usize, client: &Client) -> Result<u64> {
         let url = format!("http://{}/admin/state", self.daemons[index].admin);
         let sent = client.get(url).bearer_auth(OPERATOR).send().await;
@@ -150,30 +150,30 @@
         Ok(body["config"]["next"].as_u64().unwrap_or(0))
     }
 
-    /// Sets up one organisation with one model, and waits until it answers.
+    /// Sets up one organisation with one model, and waits until the model is served.
     pub async fn set_up(&mut self) -> Result<()> {
-        for op in ops()? {
+        for op in setup_ops()? {
             self.change(&op, None, 0).await?;
         }
         let client = Client::default();
         let started = Instant::now();
-        while !self.answers(&client).await {
-            if started.elapsed() > UP {
-                bail!("the model does not answer");
+        while !self.is_serving(&client).await {
+            if started.elapsed() > TIMEOUT {
+                bail!("the model did not answer before the timeout");
             }
             actix_rt::time::sleep(Duration::from_millis(50)).await;
         }
         Ok(())
     }
 
-    async fn answers(&self, client: &Client) -> bool {
+    async fn is_serving(&self, client: &Client) -> bool {
         let url = format!("http://{}/v1/completions", self.daemons[0].caller);
         let body = json!({"model": MODEL, "prompt": "ready?", "max_tokens": 1});
         let sent = client.post(url).bearer_auth(CALLER).send_json(&body).await;
         sent.is_ok_and(|a| a.status().is_success())
     }
 
-    /// Stops all.
+    /// Stops the daemons, then the stand-ins.
     pub fn stop(self) {
         for daemon in &self.daemons {
             daemon.begin_stop();
@@ -185,8 +185,8 @@
     }
 }
 
-/// A template that limits nothing.
-pub fn open_template() -> Result<Template> {
+/// Returns a template without effective limits.
+pub fn unlimited_template() -> Result<Template> {
     let fixed = |n| Setting::Fixed(Param::Integer(n));
     let names = |list: &[&str]| {
         Setting::Fixed(Param::Names(list.iter().map(|n| (*n).to_owned()).collect()))
@@ -201,15 +201,15 @@
             priority: fixed(1),
             weight: fixed(1),
             patience: fixed(10_000),
-            rate: fixed(MANY),
-            concurrency: fixed(MANY),
-            tokens: fixed(MANY * MANY),
+            rate: fixed(UNLIMITED),
+            concurrency: fixed(UNLIMITED),
+            tokens: fixed(UNLIMITED * UNLIMITED),
         },
     })
 }
 
-/// An organisation of the open template.
-pub fn open_org(name: &str) -> Result<Organisation> {
+/// Returns an organisation that uses the unlimited template.
+pub fn unlimited_org(name: &str) -> Result<Organisation> {
     Ok(Organisation {
         name: Org::from_text(name)?,
         template: TemplateName::from_text("open")?,
@@ -217,8 +217,8 @@
     })
 }
 
-/// The changes that set a rig up.
-pub fn ops() -> Result<Vec<Op>> {
+/// Returns the changes that configure one organisation with one model.
+pub fn setup_ops() -> Result<Vec<Op>> {
     let fleet = Fleet {
         accelerators: vec![AcceleratorSpec {
             count: 1,
@@ -232,10 +232,10 @@
         }],
         ..Fleet::default()
     };
-    let org = open_org("bench")?;
+    let org = unlimited_org("bench")?;
     Ok(vec![
         Op::PutFleet(fleet),
-        Op::PutTemplate(Box::new(open_template()?)),
+        Op::PutTemplate(Box::new(unlimited_template()?)),
         Op::PutOrganisation(org.clone()),
         Op::AddToken {
             org: org.name,
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/simulation.rs
@@ -1,7 +1,7 @@
-//! One experiment: daemons' decision code against fakes, under a passed-in clock.
+//! Simulates one experiment: the decision code of daemons, with simulated engines and clock.
 
-use crate::fleet::{capacity, Engine, Message, Sent, Sequence, Told, SLOTS};
-use crate::trace::{Arrival, Deployment, Experiment, EVENT_AT, EVENT_FOR, LENGTH, ORGS};
+use crate::fleet::{capacity, AttemptKey, Engine, EngineEvent, Message, Sequence, SLOTS};
+use crate::trace::{Arrival, Deployment, Experiment, DURATION_MS, EVENT_AT, EVENT_FOR, ORGS};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shaleline_lease::LeaseBody;
@@ -20,100 +20,100 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 const DAEMONS: usize = 3;
-const REPORT_EVERY: u64 = 250;
-const TICK_EVERY: u64 = 20;
-const PLAN_EVERY: u64 = 500;
+const REPORT_INTERVAL_MS: u64 = 250;
+const TICK_INTERVAL_MS: u64 = 20;
+const PLAN_INTERVAL_MS: u64 = 500;
 
-/// How old a report is when it arrives.
-const REPORT_LAG: u64 = 100;
+/// Age of a report on arrival.
+const REPORT_DELAY_MS: u64 = 100;
 
-/// Time before the traffic to place everything, and after it to end everything.
-const SETTLE: u64 = 240_000;
-const TAIL: u64 = 30_000;
+/// Time before the traffic for the initial placement, and after it to end the requests.
+const WARM_UP_MS: u64 = 240_000;
+const TAIL_MS: u64 = 30_000;
 
-/// Targets: first token, and the mean time between tokens.
-const FIRST_TARGET: u64 = 960;
-const BETWEEN_TARGET: f64 = 38.0;
+/// Targets of the time to the first token and of the mean time between tokens.
+const FIRST_TOKEN_TARGET_MS: u64 = 960;
+const TOKEN_INTERVAL_TARGET_MS: f64 = 38.0;
 
-/// How long a request may wait to start: the target less what a prompt takes.
-const PATIENCE: u64 = 880;
+/// Maximum wait of a request before its start: the target minus the time of a prompt.
+const MAX_WAIT_MS: u64 = 880;
 
-/// Blocks of a prompt that take as long as a token of the answer, half of them cached.
+/// Number of prompt blocks that take as long as one token of the answer, if half are cached.
 const BLOCKS_PER_TOKEN: u64 = 6;
 
 const MEMORY: Megabytes = Megabytes(80_000);
 const SIZES: [u64; 5] = [19_000, 9_000, 30_000, 17_000, 11_000];
 
-/// How an experiment's daemons decide.
+/// The policies of the daemons in an experiment.
 pub struct Setup {
     /// The placement policy.
     pub policy: Box<dyn Policy>,
-    /// The choice of upstream.
+    /// The policy that chooses an upstream.
     pub choice: ChoicePolicy,
-    /// Whether what can't make its target is refused early.
+    /// Whether requests that cannot meet their target are refused early.
     pub shed: bool,
 }
 
-/// How a request went.
+/// The final state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Whole and within both targets.
+    /// Complete and within both targets.
     Met,
-    /// Whole but late.
+    /// Complete but late.
     Late,
     /// Refused as not run.
     Refused,
-    /// Given up with an unknown outcome.
+    /// Ended with an unknown outcome.
     Unknown,
-    /// No answer at all.
+    /// No answer until the end of the run.
     Lost,
 }
 
-/// One request's record.
+/// The result of one request.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The organisation.
     pub org: usize,
-    /// When it arrived.
+    /// Arrival time in milliseconds.
     pub at: u64,
-    /// Milliseconds to the first token, if one came.
+    /// Milliseconds to the first token, if there was one.
     pub first: Option<u64>,
-    /// How it went.
+    /// The final state.
     pub ending: Ending,
 }
 
-struct Open {
+struct OpenRequest {
     arrival: Arrival,
     first: Option<u64>,
     done: u32,
 }
 
-struct Placed {
+struct Placement {
     machine: CellMachine,
     dispatcher: Dispatcher,
     offset: u64,
     reports: BTreeMap<Upstream, EngineReport>,
-    store: f64,
+    load_budget: f64,
 }
 
-/// The experiment's world.
-pub struct World {
+/// The state of a simulated experiment.
+pub struct Simulation {
     deployment: Deployment,
     experiment: Experiment,
     engines: Vec<Engine>,
     routers: Vec<Router>,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     outcomes: Vec<Outcome>,
-    placed: Placed,
+    placement: Placement,
     policy: Box<dyn Policy>,
     demand: Demand,
-    wanted: DesiredItems,
+    desired: DesiredItems,
     reports: VecDeque<(u64, usize, Load, UpstreamInfo, Vec<u64>)>,
     rng: SmallRng,
     now: u64,
-    moves_before: u64,
+    initial_loads: u64,
 }
 
 fn model(number: usize) -> Model {
@@ -128,13 +128,13 @@
     Upstream::from_text(&format!("engine-{number:02}")).expect("the name is valid")
 }
 
-/// Urgent organisations first.
+/// Returns the priority of an organisation; 0 is the most urgent.
 fn priority(org: usize) -> u8 {
     (org % 3) as u8
 }
 
-impl World {
-    /// A world before its first step.
+impl Simulation {
+    /// Creates a simulation before its first step.
     pub fn new(deployment: Deployment, experiment: Experiment, setup: Setup, seed: u64) -> Self {
         let engines = (0..deployment.engines()).map(|i| Engine::new(i, MEMORY, seed + i as u64));
         let router = |i: usize| {
@@ -146,7 +146,7 @@
             };
             Router::new(settings, ShareBook::alone("me"))
         };
-        let want = |i: usize| DesiredItem {
+        let desired_item = |i: usize| DesiredItem {
             item: Item::base(&model(i), 1),
             size: Megabytes(SIZES[i % SIZES.len()]),
         };
@@ -157,34 +157,34 @@
             routers: (0..DAEMONS).map(router).collect(),
             open: BTreeMap::new(),
             outcomes: Vec::new(),
-            placed: Placed::new(),
+            placement: Placement::new(),
             policy: setup.policy,
             demand: Demand::default(),
-            wanted: DesiredItems::from_items((0..deployment.models()).map(want)),
+            desired: DesiredItems::from_items((0..deployment.models()).map(desired_item)),
             reports: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed),
             now: 0,
-            moves_before: 0,
+            initial_loads: 0,
         }
     }
 
-    /// Runs the traffic. Returns how each request went, and how many loads it took.
+    /// Runs the traffic. Returns the outcome of each request and the number of loads.
     pub fn run(mut self, arrivals: &[Arrival]) -> (Vec<Outcome>, u64) {
         let mut next = arrivals.iter().peekable();
         let mut number = 0;
-        while self.now < SETTLE + LENGTH + TAIL {
-            self.now += STEP;
-            if self.now == SETTLE {
-                self.moves_before = self.loads();
+        while self.now < WARM_UP_MS + DURATION_MS + TAIL_MS {
+            self.now += STEP_MS;
+            if self.now == WARM_UP_MS {
+                self.initial_loads = self.loads();
             }
-            self.happen();
-            while let Some(arrival) = next.next_if(|a| a.at + SETTLE <= self.now) {
+            self.inject_event();
+            while let Some(arrival) = next.next_if(|a| a.at + WARM_UP_MS <= self.now) {
                 number += 1;
                 self.arrive(number, arrival);
             }
             self.step();
         }
-        let moves = self.loads() - self.moves_before;
+        let moves = self.loads() - self.initial_loads;
         for open in self.open.values() {
             self.outcomes.push(Outcome {
                 org: open.arrival.org,
@@ -201,11 +201,11 @@
     }
 
     fn since_start(&self) -> Option<u64> {
-        self.now.checked_sub(SETTLE)
+        self.now.checked_sub(WARM_UP_MS)
     }
 
-    /// What the experiment does at its time.
-    fn happen(&mut self) {
+    /// Applies the event of the experiment when it is due.
+    fn inject_event(&mut self) {
         let Some(at) = self.since_start() else {
             return;
         };
@@ -213,10 +213,10 @@
         match (self.experiment, at) {
             (Experiment::Hang, EVENT_AT) => self.engines[0].hung = true,
             (Experiment::Hang, t) if t == EVENT_AT + EVENT_FOR => self.engines[0].hung = false,
-            (Experiment::EngineDies, EVENT_AT) => self.engines[0].die(&mut out),
+            (Experiment::EngineDies, EVENT_AT) => self.engines[0].crash(&mut out),
             (Experiment::CentreLost, EVENT_AT) => {
                 for engine in self.engines.iter_mut().step_by(3) {
-                    engine.die(&mut out);
+                    engine.crash(&mut out);
                 }
             }
             _ => {}
@@ -230,7 +230,7 @@
         let cost = u64::from(arrival.blocks) / BLOCKS_PER_TOKEN + u64::from(arrival.tokens);
         let now = Millis(self.now);
         self.demand.record(&model(arrival.model), cost as f64, now);
-        let ask = RouteRequest {
+        let request = RouteRequest {
             id,
             org: org(arrival.org),
             route: Route::Model {
@@ -242,22 +242,23 @@
             cost,
             prefix: blocks(arrival),
             block_sizes: Vec::new(),
-            due: now.plus(PATIENCE),
+            due: now.plus(MAX_WAIT_MS),
             repeatable: true,
             limits: self.limits(),
             policy: RequestPolicy::default(),
             identity: None,
         };
-        let open = Open {
+        let open = OpenRequest {
             arrival: arrival.clone(),
             first: None,
             done: 0,
         };
         self.open.insert(id, open);
-        self.route(daemon, RouteEvent::Arrive(Box::new(ask)));
+        self.route(daemon, RouteEvent::Arrive(Box::new(request)));
     }
 
-    /// An organisation may use twice its even share of the deployment, over all daemons.
+    /// Returns the limits at one daemon: over the daemons, an organisation may use twice its
+    /// even share of the deployment.
     fn limits(&self) -> Limits {
         let share = capacity() * self.deployment.engines() as f64 / ORGS as f64;
         Limits {
@@ -312,7 +313,7 @@
         };
         let arrival = &open.arrival;
         let sequence = Sequence::new(
-            Sent {
+            AttemptKey {
                 daemon,
                 id,
                 attempt,
@@ -344,32 +345,32 @@
         }
     }
 
-    /// Passes on what engines tell.
+    /// Delivers the messages of engines to their daemons.
     fn deliver(&mut self, messages: Vec<Message>) {
         for m in messages {
             let (id, attempt) = (m.id, m.attempt);
-            match m.told {
-                Told::Tokens(count, first) => {
+            match m.event {
+                EngineEvent::Tokens(count, first) => {
                     let started = self.now;
                     if let Some(open) = self.open.get_mut(&id) {
                         open.done += count;
-                        let at = open.arrival.at + SETTLE;
+                        let at = open.arrival.at + WARM_UP_MS;
                         open.first.get_or_insert(started - at.min(started));
                     }
                     if first {
                         self.route(m.daemon, RouteEvent::FirstByte { id, attempt });
                     }
                 }
-                Told::Whole => {
-                    self.whole(id);
+                EngineEvent::Whole => {
+                    self.complete(id);
                     let end = AttemptEnd::Whole;
                     self.route(m.daemon, RouteEvent::Ended { id, attempt, end });
                 }
-                Told::Refused => {
+                EngineEvent::Refused => {
                     let end = AttemptEnd::Refused;
                     self.route(m.daemon, RouteEvent::Ended { id, attempt, end });
                 }
-                Told::Broken => {
+                EngineEvent::Broken => {
                     let end = AttemptEnd::Broken;
                     self.route(m.daemon, RouteEvent::Ended { id, attempt, end });
                 }
@@ -377,35 +378,36 @@
         }
     }
 
-    fn whole(&mut self, id: RequestId) {
+    fn complete(&mut self, id: RequestId) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
         let first = open.first.unwrap_or(u64::MAX);
-        let took = self.now - (open.arrival.at + SETTLE).min(self.now);
-        let rest = f64::from(open.arrival.tokens.saturating_sub(1)).max(1.0);
-        let between = took.saturating_sub(first) as f64 / rest;
-        let met = first <= FIRST_TARGET && between <= BETWEEN_TARGET;
+        let elapsed = self.now - (open.arrival.at + WARM_UP_MS).min(self.now);
+        let intervals = f64::from(open.arrival.tokens.saturating_sub(1)).max(1.0);
+        let between = elapsed.saturating_sub(first) as f64 / intervals;
+        let met = first <= FIRST_TOKEN_TARGET_MS && between <= TOKEN_INTERVAL_TARGET_MS;
         self.end(id, if met { Ending::Met } else { Ending::Late });
     }
 
     fn step(&mut self) {
         let mut out = Vec::new();
         for engine in &mut self.engines {
-            engine.step(self.now, STEP, &mut out);
+            engine.step(self.now, STEP_MS, &mut out);
         }
         self.deliver(out);
-        if self.now % REPORT_EVERY == 0 {
+        if self.now % REPORT_INTERVAL_MS == 0 {
             self.make_reports();
         }
-        self.hear_reports();
-        if self.now % TICK_EVERY == 0 {
+        self.deliver_reports();
+        if self.now % TICK_INTERVAL_MS == 0 {
             for daemon in 0..DAEMONS {
                 self.route(daemon, RouteEvent::Tick);
             }
         }
-        let away = self.experiment == Experiment::LogAway && self.since_start().is_some();
-        if self.now % PLAN_EVERY == 0 && !away {
+        let log_unavailable =
+            self.experiment == Experiment::LogAway && self.since_start().is_some();
+        if self.now % PLAN_INTERVAL_MS == 0 && !log_unavailable {
             self.plan();
         }
     }
@@ -435,14 +437,14 @@
                 centre: engine.state.spec().centre.clone(),
                 routes: ledger.resident.iter().map(serves).collect(),
             };
-            self.placed.reports.insert(upstream(index), ledger);
-            let due = self.now + REPORT_LAG;
+            self.placement.reports.insert(upstream(index), ledger);
+            let due = self.now + REPORT_DELAY_MS;
             self.reports
                 .push_back((due, index, load, info, report.cache.blocks));
         }
     }
 
-    fn hear_reports(&mut self) {
+    fn deliver_reports(&mut self) {
         while self
             .reports
             .front()
@@ -466,7 +468,7 @@
             }
         }
         for index in 0..self.engines.len() {
-            if self.engines[index].dead && self.now % REPORT_EVERY == 0 {
+            if self.engines[index].dead && self.now % REPORT_INTERVAL_MS == 0 {
                 for daemon in 0..DAEMONS {
                     self.route(daemon, RouteEvent::Removed(upstream(index)));
                 }
@@ -487,59 +489,60 @@
             .enumerate()
             .map(|(i, e)| (upstream(i), view(e)))
             .collect();
-        let placed = &mut self.placed;
-        let follow = placed
+        let placement = &mut self.placement;
+        let records = placement
             .dispatcher
-            .records(&placed.machine, &placed.reports, now);
-        placed.apply(follow, now);
-        placed.store = (placed.store + self.deployment.store_rate() * PLAN_EVERY as f64 / 1_000.0)
+            .records(&placement.machine, &placement.reports, now);
+        placement.apply(records, now);
+        placement.load_budget = (placement.load_budget
+            + self.deployment.store_rate() * PLAN_INTERVAL_MS as f64 / 1_000.0)
             .min(self.deployment.store_rate().max(1.0));
         let plan = PlanInput {
-            ledgers: placed.machine.engines(),
+            ledgers: placement.machine.engines(),
             views: &views,
-            desired: &self.wanted,
+            desired: &self.desired,
             demand: &self.demand,
-            load_limit: placed.store as usize,
+            load_limit: placement.load_budget as usize,
         };
         let steps = self.policy.plan(plan, now);
         let loads = steps
             .iter()
             .filter(|s| matches!(s, shaleline_place::Step::Load { .. }));
-        placed.store -= loads.count() as f64;
-        let bodies = placed.dispatcher.steps(&steps);
-        placed.apply(bodies, now);
-        let crowd: usize = self.engines.iter().map(Engine::loading).sum();
-        for order in self.placed.dispatcher.take_orders() {
+        placement.load_budget -= loads.count() as f64;
+        let bodies = placement.dispatcher.steps(&steps);
+        placement.apply(bodies, now);
+        let loading: usize = self.engines.iter().map(Engine::loading).sum();
+        for order in self.placement.dispatcher.take_orders() {
             let lost =
                 self.experiment == Experiment::OrdersLost && self.rng.random_range(0..5) == 0;
             if !lost {
                 let now = self.now;
                 self.engine(&order.engine)
-                    .order(&order, now, crowd as f64 / 15.0);
+                    .order(&order, now, loading as f64 / 15.0);
             }
         }
     }
 }
 
-impl Placed {
+impl Placement {
     fn new() -> Self {
-        let mut placed = Self {
+        let mut placement = Self {
             machine: CellMachine::default(),
             dispatcher: Dispatcher::default(),
             offset: 0,
             reports: BTreeMap::new(),
-            store: 0.0,
+            load_budget: 0.0,
         };
         let claim = CellBody::Lease(LeaseBody::Claim {
             instance: Instance::from_text("entry-1").expect("the name is valid"),
             after: None,
         });
-        placed.apply(vec![claim], Millis(0));
-        placed.dispatcher.set_fence(Some(Offset(0)));
-        placed
+        placement.apply(vec![claim], Millis(0));
+        placement.dispatcher.set_fence(Some(Offset(0)));
+        placement
     }
 
-    /// Applies records at once: the log's delay is small against a plan's period.
+    /// Applies records immediately: the delay of the log is small against the interval of plans.
     fn apply(&mut self, bodies: Vec<CellBody>, now: Millis) {
         for body in bodies {
             let at = Position {
@@ -555,8 +558,8 @@
     }
 }
 
-/// Keys of a prompt's blocks: half of them are common to the organisation's prompts of
-/// one kind, the rest its own.
+/// Returns the keys of a prompt's blocks: half of them are shared by the prompts of one kind
+/// for the model, the others are unique.
 fn blocks(arrival: &Arrival) -> Vec<u64> {
     let common = arrival.blocks / 2;
     let key = |i: u32| {
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,10 +1,10 @@
-//! `slopes`: what a unit of state, a message or a decision costs, at four sizes or more.
-//! `docs/CAPACITY.md` works with these figures.
+//! `slopes`: the cost of a unit of state, a message or a decision, from at least four sizes.
+//! `docs/CAPACITY.md` uses these figures.
 
 use crate::costs;
 use crate::fit::{fit, Fit, Point};
 use crate::plans;
-use crate::rig::{open_template, Rig};
+use crate::rig::{unlimited_template, Rig};
 use crate::spread;
 use awc::Client;
 use eyre::Result;
@@ -12,7 +12,7 @@
 use shaleline_config::Op;
 use std::time::Instant;
 
-/// One measured slope.
+/// The cost of a unit, fitted to measured points.
 #[derive(Debug, Serialize)]
 struct Slope {
     name: &'static str,
@@ -21,7 +21,7 @@
     fit: Fit,
 }
 
-/// Times of changes at a number of daemons, in milliseconds.
+/// Times in milliseconds until changes are accepted, applied and confirmed.
 #[derive(Debug, Serialize)]
 struct InForce {
     daemons: usize,
@@ -40,7 +40,7 @@
     cold_start_300_ms: f64,
 }
 
-/// Measures and prints.
+/// Measures and prints the figures.
 pub fn run(as_json: bool) -> Result<bool> {
     let mut slopes = state_slopes();
     slopes.extend(decision_slopes());
@@ -195,13 +195,13 @@
     }
 }
 
-/// Changes with real daemons: until accepted, applied by all, and confirmed by all.
+/// Measures the time until running daemons have accepted, applied and confirmed a change.
 async fn in_force() -> Result<Vec<InForce>> {
     const CHANGES: usize = 8;
     let mut all = Vec::new();
     for daemons in [3, 9, 30] {
         let mut rig = Rig::start(daemons, 1, 0).await?;
-        rig.change(&Op::PutTemplate(Box::new(open_template()?)), None, 0)
+        rig.change(&Op::PutTemplate(Box::new(unlimited_template()?)), None, 0)
             .await?;
         let client = Client::default();
         let mut times: [Vec<u64>; 3] = [Vec::new(), Vec::new(), Vec::new()];
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -1,4 +1,4 @@
-//! How many rounds of heartbeats news takes to reach every daemon, and what a round costs.
+//! The number of heartbeat rounds until an update reaches every daemon, and their cost.
 
 use serde::Serialize;
 use shaleline_peer::{Member, MemberId, MemberSettings, Members};
@@ -8,22 +8,22 @@
 
 const ROUND_MS: u64 = 1_000;
 const WARM_UP: u64 = 120;
-const MOST_ROUNDS: u64 = 120;
+const MAX_ROUNDS: u64 = 120;
 
-/// What was measured at a number of daemons.
+/// The figures at one number of daemons.
 #[derive(Debug, Clone, Serialize)]
 pub struct Rounds {
-    /// How many daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Rounds until every daemon knows that every other has applied an offset.
+    /// Rounds until every daemon knows_death that every other has applied an offset.
     pub rounds: u64,
-    /// Bytes of messages and answers a second, sent by one daemon.
+    /// Bytes of heartbeats and answers per second and daemon.
     pub bytes: f64,
-    /// CPU a second at one daemon, in microseconds, reading and writing included.
+    /// CPU time per second and daemon in microseconds, including serialization.
     pub cpu_us: f64,
-    /// Daemons that one believed gone at the end, though all live.
+    /// Maximum number of live daemons that one daemon considers dead.
     pub missed: usize,
-    /// Rounds until every daemon knows that one has died.
+    /// Rounds until every daemon has detected the death of one.
     pub death: u64,
 }
 
@@ -44,16 +44,16 @@
     }
 }
 
-struct Net {
+struct Network {
     all: Vec<Members>,
     by_address: BTreeMap<String, usize>,
-    listed: Vec<String>,
+    addresses: Vec<String>,
     bytes: u64,
     busy: f64,
     dead: Option<usize>,
 }
 
-impl Net {
+impl Network {
     fn round(&mut self, now: Millis) {
         for i in (0..self.all.len())
             .filter(|i| self.dead != Some(*i))
@@ -62,7 +62,7 @@
             let started = Instant::now();
             let message = self.all[i].beat();
             let text = serde_json::to_string(&message).unwrap_or_default();
-            let targets = self.all[i].targets(&self.listed);
+            let targets = self.all[i].targets(&self.addresses);
             for to in targets
                 .iter()
                 .filter_map(|t| self.by_address.get(t).copied())
@@ -77,8 +77,8 @@
                     continue;
                 };
                 let answer = self.all[to].on_heartbeat(&message, now);
-                let back = serde_json::to_string(&answer).unwrap_or_default();
-                self.bytes += (text.len() + back.len()) as u64;
+                let reply = serde_json::to_string(&answer).unwrap_or_default();
+                self.bytes += (text.len() + reply.len()) as u64;
                 self.all[i].on_answer(&answer, now);
             }
             self.all[i].tick(now);
@@ -90,13 +90,13 @@
 
 fn measure(daemons: usize) -> Rounds {
     let members: Vec<Member> = (0..daemons).map(member).collect();
-    let mut net = Net {
+    let mut network = Network {
         by_address: members
             .iter()
             .enumerate()
             .map(|(i, m)| (m.peer.clone(), i))
             .collect(),
-        listed: members.iter().map(|m| m.peer.clone()).collect(),
+        addresses: members.iter().map(|m| m.peer.clone()).collect(),
         all: members
             .into_iter()
             .map(|m| Members::new(MemberSettings::default(), m))
@@ -108,33 +108,33 @@
     let mut now = Millis(0);
     for _ in 0..WARM_UP {
         now = now.plus(ROUND_MS);
-        net.round(now);
+        network.round(now);
     }
-    (net.bytes, net.busy) = (0, 0.0);
-    for members in &mut net.all {
+    (network.bytes, network.busy) = (0, 0.0);
+    for members in &mut network.all {
         members.set_config(Offset(1));
     }
     let mut rounds = 0;
-    while rounds < MOST_ROUNDS && net.all.iter().any(|m| !m.behind(Offset(0)).is_empty()) {
+    while rounds < MAX_ROUNDS && network.all.iter().any(|m| !m.behind(Offset(0)).is_empty()) {
         rounds += 1;
         now = now.plus(ROUND_MS);
-        net.round(now);
+        network.round(now);
     }
-    let missed = net
+    let missed = network
         .all
         .iter()
         .map(|m| daemons - m.alive().count())
         .max()
         .unwrap_or(0);
-    let (bytes, busy) = (net.bytes, net.busy);
-    net.dead = Some(daemons / 2);
-    let victim = net.all[daemons / 2].me().writer;
+    let (bytes, busy) = (network.bytes, network.busy);
+    network.dead = Some(daemons / 2);
+    let dead_writer = network.all[daemons / 2].me().writer;
     let mut death = 0;
-    let knows = |(i, m): (usize, &Members)| i == daemons / 2 || !m.is_alive(victim);
-    while death < MOST_ROUNDS && !net.all.iter().enumerate().all(knows) {
+    let knows_death = |(i, m): (usize, &Members)| i == daemons / 2 || !m.is_alive(dead_writer);
+    while death < MAX_ROUNDS && !network.all.iter().enumerate().all(knows_death) {
         death += 1;
         now = now.plus(ROUND_MS);
-        net.round(now);
+        network.round(now);
     }
     let total = rounds.max(1) as f64 * daemons as f64;
     Rounds {
--- a/crates/bench/src/trace.rs
+++ b/crates/bench/src/trace.rs
@@ -1,24 +1,24 @@
-//! What callers ask for: seeded, open-loop.
+//! Generates open-loop request traces from a seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// A deployment's sizes.
+/// A deployment of a given size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Deployment {
-    /// 12 engines, 26 models, a store of 1.5 loads a second; moves weigh much.
+    /// 12 engines, 26 models, a store limit of 1.5 loads per second, expensive moves.
     Mraznik,
-    /// 18 engines, 40 models, a store of 2 loads a second; moves weigh little.
+    /// 18 engines, 40 models, a store limit of 2 loads per second, cheap moves.
     Agencia,
 }
 
 impl Deployment {
-    /// Both.
+    /// Both deployments.
     pub const ALL: [Self; 2] = [Self::Mraznik, Self::Agencia];
 
-    /// How many engines.
+    /// Number of engines.
     pub fn engines(self) -> usize {
         match self {
             Self::Mraznik => 12,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// How many models.
+    /// Number of models.
     pub fn models(self) -> usize {
         match self {
             Self::Mraznik => 26,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Loads a second that the store allows.
+    /// Rate limit of the store in loads per second.
     pub fn store_rate(self) -> f64 {
         match self {
             Self::Mraznik => 1.5,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// What a move costs, in seconds of an engine's work.
+    /// Cost of a move in seconds of one engine's work.
     pub fn move_weight(self) -> f64 {
         match self {
             Self::Mraznik => 8.0,
@@ -51,32 +51,32 @@
     }
 }
 
-/// What happens.
+/// The event of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Experiment {
-    /// Some models are asked for ten times as often for a minute.
+    /// Some models have ten times their request rate for a minute.
     Burst,
-    /// The demand of each model moves tenfold, and back, in scaled time.
+    /// The demand for each model changes by a factor of ten and back, in scaled time.
     Shift,
-    /// One organisation asks for twenty times its share.
+    /// One organisation sends twenty times its share of requests.
     Flood,
-    /// One engine takes requests and answers none for a minute.
+    /// One engine accepts requests and answers none for a minute.
     Hang,
-    /// Nothing.
+    /// No event.
     Steady,
-    /// One engine dies in the middle of its streams.
+    /// One engine fails while it streams answers.
     EngineDies,
-    /// The engines of one data centre die.
+    /// All engines of one data centre fail.
     CentreLost,
     /// A fifth of the orders are lost.
     OrdersLost,
-    /// The log is away, so that nothing can be planned, under a shift.
+    /// The log is unavailable, so that nothing can be planned, while the demand shifts.
     LogAway,
 }
 
 impl Experiment {
-    /// All, the first four first.
+    /// All experiments.
     pub const ALL: [Self; 9] = [
         Self::Burst,
         Self::Shift,
@@ -90,41 +90,41 @@
     ];
 }
 
-/// How long traffic lasts, in milliseconds.
-pub const LENGTH: u64 = 180_000;
+/// Duration of the traffic in milliseconds.
+pub const DURATION_MS: u64 = 180_000;
 
-/// When and how long something happens.
+/// Start of the event in milliseconds.
 pub const EVENT_AT: u64 = 60_000;
-/// Its length.
+/// Duration of the event in milliseconds.
 pub const EVENT_FOR: u64 = 60_000;
 
-/// Organisations; each has its own models.
+/// Number of organisations; each has its own models.
 pub const ORGS: usize = 6;
 
-const BURST: f64 = 10.0;
-const FLOOD: f64 = 20.0;
+const BURST_FACTOR: f64 = 10.0;
+const FLOOD_FACTOR: f64 = 20.0;
 
 /// One request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When, in milliseconds.
+    /// Arrival time in milliseconds.
     pub at: u64,
     /// The organisation.
     pub org: usize,
     /// The model.
     pub model: usize,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub tokens: u32,
-    /// Blocks of the prompt, of which the first few are the organisation's own.
+    /// Number of blocks of the prompt; prompts of one organisation share the first ones.
     pub blocks: u32,
-    /// Which of the organisation's prompts.
+    /// Index of the prompt among those of the organisation.
     pub prompt: u32,
 }
 
-/// The organisation that floods.
-pub const FLOODER: usize = 0;
+/// The organisation that sends the flood.
+pub const FLOOD_ORG: usize = 0;
 
-/// The share of all requests for each model, skewed and shuffled.
+/// Returns the share of requests of each model, skewed and shuffled.
 fn shares(models: usize, rng: &mut SmallRng) -> Vec<f64> {
     let mut shares: Vec<f64> = (0..models)
         .map(|i| 1.0 / (i as f64 + 1.0).powf(0.8))
@@ -136,23 +136,23 @@
     shares.iter().map(|s| s / sum).collect()
 }
 
-/// How often a model is asked for at a time, relative to its share.
-fn factor(experiment: Experiment, model: usize, org: usize, at: u64, hot: &[usize]) -> f64 {
+/// Returns the demand for a model at a time, relative to its share.
+fn demand_factor(experiment: Experiment, model: usize, org: usize, at: u64, hot: &[usize]) -> f64 {
     let during = (EVENT_AT..EVENT_AT + EVENT_FOR).contains(&at);
     match experiment {
-        Experiment::Burst if during && hot.contains(&model) => BURST,
+        Experiment::Burst if during && hot.contains(&model) => BURST_FACTOR,
         Experiment::Shift | Experiment::LogAway => {
-            let phase = at as f64 / LENGTH as f64 * 2.0 * std::f64::consts::PI;
-            let turn = model as f64 * 2.4;
-            10f64.powf((phase + turn).sin() / 2.0)
+            let phase = at as f64 / DURATION_MS as f64 * 2.0 * std::f64::consts::PI;
+            let shift = model as f64 * 2.4;
+            10f64.powf((phase + shift).sin() / 2.0)
         }
-        Experiment::Flood if during && org == FLOODER => FLOOD,
+        Experiment::Flood if during && org == FLOOD_ORG => FLOOD_FACTOR,
         _ => 1.0,
     }
 }
 
-/// The requests of an experiment. `rate` is the mean of all requests a second without
-/// anything happening.
+/// Returns the requests of an experiment. `rate` is the mean number of requests per second
+/// without the event.
 pub fn arrivals(
     deployment: Deployment,
     experiment: Experiment,
@@ -166,22 +166,22 @@
         .filter(|m| shares[*m] < 1.5 / models as f64)
         .take(3)
         .collect();
-    let mut all = Vec::new();
+    let mut trace = Vec::new();
     for (model, share) in shares.iter().enumerate() {
         let org = model % ORGS;
-        let most = rate * share * FLOOD;
+        let peak_rate = rate * share * FLOOD_FACTOR;
         let mut at = 0.0;
         loop {
             let gap: f64 = rng.random_range(f64::EPSILON..1.0);
-            at += -gap.ln() / most * 1_000.0;
-            if at >= LENGTH as f64 {
+            at += -gap.ln() / peak_rate * 1_000.0;
+            if at >= DURATION_MS as f64 {
                 break;
             }
-            let keep = factor(experiment, model, org, at as u64, &hot) / FLOOD;
-            if rng.random_range(0.0..1.0) >= keep {
+            let acceptance = demand_factor(experiment, model, org, at as u64, &hot) / FLOOD_FACTOR;
+            if rng.random_range(0.0..1.0) >= acceptance {
                 continue;
             }
-            all.push(Arrival {
+            trace.push(Arrival {
                 at: at as u64,
                 org,
                 model,
@@ -191,6 +191,6 @@
             });
         }
     }
-    all.sort_by_key(|a| (a.at, a.model));
-    all
+    trace.sort_by_key(|a| (a.at, a.model));
+    trace
 }
