--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line.
 
 use eyre::{bail, eyre, Result};
 use getopts::Options;
@@ -27,31 +27,31 @@
 Files are TOML, or JSON where the name ends in .json.
 ";
 
-/// Commands that ask no daemon.
-const LOCAL: [&str; 3] = ["hash", "losses", "explain"];
+/// The commands that run without contacting a daemon.
+const LOCAL_COMMANDS: [&str; 3] = ["hash", "losses", "explain"];
 
-/// A command to run and whom to ask.
+/// A command and the daemon that it is sent to.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Where a daemon answers operators, `IP:PORT`.
+    /// The address of the daemon's administration API, `IP:PORT`.
     pub admin: String,
     /// The operator's token.
     pub token: String,
-    /// How long to wait until a change is in force everywhere, in milliseconds.
+    /// How long to wait until a change is in force on all daemons, in milliseconds.
     pub wait: u64,
-    /// The version that a change is made from; the current one if none is given.
+    /// The version that a change is based on; the current one by default.
     pub base: Option<u64>,
-    /// The change's id; drawn if none is given.
+    /// The id of the change; a random one by default.
     pub change: Option<String>,
-    /// The command's words.
+    /// The command and its arguments.
     pub words: Vec<String>,
 }
 
-/// What the command line asks for.
+/// The result of parsing the command line.
 pub enum Parsed {
-    /// To show this text.
+    /// The help text to print.
     Help(String),
-    /// To run a command.
+    /// The command to run.
     Run(Run),
 }
 
@@ -86,14 +86,14 @@
     options
 }
 
-/// Reads the command line and the environment.
+/// Parses the command line; the environment supplies the address and the token by default.
 pub fn parse(args: &[String]) -> Result<Parsed> {
     let options = options();
     let matches = options.parse(args)?;
     if matches.opt_present("help") || matches.free.is_empty() {
         return Ok(Parsed::Help(options.usage(HELP)));
     }
-    let local = LOCAL.contains(&matches.free[0].as_str());
+    let local = LOCAL_COMMANDS.contains(&matches.free[0].as_str());
     let setting = |flag: &str, variable: &str| {
         let given = matches
             .opt_str(flag)
@@ -108,7 +108,7 @@
     let base = matches.opt_get::<u64>("base")?;
     let admin = setting("admin", "SHALELINE_ADMIN")?;
     if !local && admin.parse::<std::net::SocketAddr>().is_err() {
-        bail!("--admin: {admin:?} is no IP:PORT");
+        bail!("--admin: {admin:?} is not of the form IP:PORT");
     }
     Ok(Parsed::Run(Run {
         admin,
--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The commands.
 
 use crate::args::Run;
 use crate::client::Client;
@@ -8,7 +8,7 @@
 use shaleline_config::{Fleet, Op, Operator, Organisation, Role, Template};
 use shaleline_types::{Org, TemplateName, TokenHash};
 
-/// Runs a command and returns what to show.
+/// Runs a command and returns its output.
 pub async fn run(run: &Run) -> Result<String> {
     let words: Vec<&str> = run.words.iter().map(String::as_str).collect();
     let client = Client::new(run);
@@ -41,12 +41,13 @@
         ["org", "remove", name] => Op::RemoveOrganisation(Org::from_text(name)?),
         ["token", "revoke", org, hash] => Op::RevokeToken {
             org: Org::from_text(org)?,
-            token: TokenHash::from_hex(hash).ok_or_else(|| eyre!("{hash:?} is no hash"))?,
+            token: TokenHash::from_hex(hash)
+                .ok_or_else(|| eyre!("{hash:?} is not a token hash"))?,
         },
         ["operator", "remove", name] => Op::RemoveOperator((*name).to_owned()),
         ["drain", target] => drain(target, true),
         ["undrain", target] => drain(target, false),
-        _ => bail!("no command {:?}; see --help", words.join(" ")),
+        _ => bail!("unknown command {:?}; see --help", words.join(" ")),
     })
 }
 
@@ -57,21 +58,21 @@
     }
 }
 
-/// 192 random bits. The token never leaves this process but to the screen; the daemons
-/// see its hash.
-fn draw_token() -> String {
+/// Returns a token of 192 random bits. The token is only printed; the daemons receive its
+/// hash alone.
+fn random_token() -> String {
     let parts: [u64; 3] = rand::random();
     format!("sl-{:016x}{:016x}{:016x}", parts[0], parts[1], parts[2])
 }
 
 async fn new_token(client: &Client<'_>, org: &str) -> Result<String> {
-    let token = draw_token();
+    let token = random_token();
     let op = Op::AddToken {
         org: Org::from_text(org)?,
         token: TokenHash::from_token(&token),
     };
-    let answer = client.change(op).await?;
-    pretty(&json!({"token": token, "answer": answer}))
+    let response = client.change(op).await?;
+    pretty(&json!({"token": token, "answer": response}))
 }
 
 async fn put_operator(client: &Client<'_>, name: &str, role: &str) -> Result<String> {
@@ -79,16 +80,16 @@
         None if role == "read" => Role::Read,
         None if role == "all" => Role::All,
         Some(("organisation", org)) => Role::Organisation(Org::from_text(org)?),
-        _ => bail!("{role:?} is no role: read, all, or organisation:NAME"),
+        _ => bail!("{role:?} is not a role: read, all, or organisation:NAME"),
     };
-    let token = draw_token();
+    let token = random_token();
     let operator = Operator {
         name: name.to_owned(),
         role,
         token: TokenHash::from_token(&token),
     };
-    let answer = client.change(Op::PutOperator(operator)).await?;
-    pretty(&json!({"token": token, "answer": answer}))
+    let response = client.change(Op::PutOperator(operator)).await?;
+    pretty(&json!({"token": token, "answer": response}))
 }
 
 fn pretty(value: &Value) -> Result<String> {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
 //! The operator's command-line tool.
 //!
-//! Each command is one call of a daemon's administration API. A change bears an id, so
-//! that repeating a call whose answer was lost is harmless.
+//! Most commands call a daemon's administration API. A change carries an id, so that it is safe
+//! to repeat a call whose response was lost.
 
 mod args;
 mod client;
@@ -18,7 +18,7 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Ok(args::Parsed::Run(run)) => finish(&run),
+        Ok(args::Parsed::Run(run)) => execute(&run),
         Err(e) => {
             eprintln!("shaleline: {e:#}");
             ExitCode::from(2)
@@ -26,7 +26,7 @@
     }
 }
 
-fn finish(run: &args::Run) -> ExitCode {
+fn execute(run: &args::Run) -> ExitCode {
     let result = actix_rt::System::new().block_on(command::run(run));
     match result {
         Ok(text) => {
--- a/crates/cli/src/saved.rs
+++ b/crates/cli/src/saved.rs
@@ -3,11 +3,11 @@
 use eyre::{bail, Result, WrapErr};
 use shaleline_explain::{trace, Line, Losses};
 
-/// Reads the logs of all daemons. Bytes that are no text stand for a line cut off, and are
-/// replaced.
-fn read(logs: &[&str]) -> Result<String> {
+/// Reads the logs of all daemons. Invalid UTF-8 is replaced, because a line may have been cut
+/// off within a character.
+fn read_logs(logs: &[&str]) -> Result<String> {
     if logs.is_empty() {
-        bail!("name the saved logs of the daemons");
+        bail!("at least one saved log must be given");
     }
     let mut all = String::new();
     for path in logs {
@@ -22,31 +22,31 @@
     text.lines().filter_map(Line::from_text).collect()
 }
 
-/// What callers of each model did not get.
+/// Returns a table of the unserved requests of each model.
 ///
 /// # Errors
-/// Where a log can't be read or holds no line with an event.
+/// Fails if a log can't be read or if no log has a line with an event.
 pub fn losses(logs: &[&str]) -> Result<String> {
-    let text = read(logs)?;
+    let text = read_logs(logs)?;
     let lines = lines(&text);
     if lines.is_empty() {
-        bail!("no line with a numbered event in {}", logs.join(" "));
+        bail!("no line with an event number in {}", logs.join(" "));
     }
     let mut losses = Losses::default();
     lines.iter().for_each(|l| losses.note(l));
     Ok(losses.to_string())
 }
 
-/// What the daemons wrote about a request.
+/// Returns the lines that the daemons logged about a request.
 ///
 /// # Errors
-/// Where a log can't be read or none names the request.
+/// Fails if a log can't be read or if no log names the request.
 pub fn explain(id: &str, logs: &[&str]) -> Result<String> {
-    let text = read(logs)?;
+    let text = read_logs(logs)?;
     let found = trace(&lines(&text), id);
     if found.is_empty() {
         bail!(
-            "no line about {id}: its line may have been dropped, see shaleline_log_lines_dropped"
+            "no line about {id}; its line may have been dropped, see shaleline_log_lines_dropped"
         );
     }
     let texts: Vec<&str> = found.iter().map(|l| l.text).collect();
