--- a/crates/cli/src/saved.rs
+++ b/crates/cli/src/saved.rs
@@ -33,7 +33,7 @@
         bail!("no line with an event number in {}", logs.join(" "));
     }
     let mut losses = Losses::default();
-    lines.iter().for_each(|l| losses.note(l));
+    lines.iter().for_each(|l| losses.record(l));
     Ok(losses.to_string())
 }
 
--- a/crates/explain/src/lib.rs
+++ b/crates/explain/src/lib.rs
@@ -1,11 +1,11 @@
-//! Finds causes in saved log lines of the daemons.
+//! Finds the causes of unserved requests in the saved logs of the daemons.
 //!
-//! * [`Line`] is one log line, read into its event and its `key=value` pairs.
-//! * [`Losses`] counts by model what callers asked for and what they did not get, and why.
-//! * [`trace`] gathers what all daemons wrote about one request, and about its model where
-//!   no engine served it.
+//! * [`Line`] is one log line, parsed into its event and its `key=value` pairs.
+//! * [`Losses`] counts, by model, the requests that were served and those that were not, and why.
+//! * [`trace`] collects the lines of all daemons about one request, and about its model if no
+//!   engine served it.
 //!
-//! Nothing here reads a file or a clock. `docs/OPERATIONS.md` walks through both.
+//! This crate reads no file and no clock. `docs/OPERATIONS.md` has examples of both reports.
 
 mod line;
 mod losses;
--- a/crates/explain/src/line.rs
+++ b/crates/explain/src/line.rs
@@ -1,9 +1,9 @@
-//! One log line.
+//! Parsing of log lines.
 
 use shaleline_types::LogEvent;
 
-/// A log line that bears a numbered event. What stands before the event, such as the
-/// instance that a log collector adds, is kept as it is.
+/// A log line with an event number. Text before the event, such as the instance that a log
+/// collector adds, is kept unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line<'a> {
     /// The whole line.
@@ -13,12 +13,12 @@
     fields: Vec<(&'a str, &'a str)>,
 }
 
-/// Splits one `key=value` pair off; a value with spaces stands in quotes.
+/// Splits off the first `key=value` pair; a value with spaces is quoted.
 fn split_pair(text: &str) -> Option<((&str, &str), &str)> {
     let text = text.trim_start();
     let (key, rest) = text.split_once('=')?;
     if key.contains(' ') {
-        // A word without a value: what comes after it is read on.
+        // Skips a word without a value.
         return split_pair(text.split_once(' ')?.1);
     }
     if let Some(quoted) = rest.strip_prefix('"') {
@@ -30,7 +30,7 @@
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line; none where it bears no event that is known.
+    /// Parses a line; returns `None` if it has no known event number.
     #[must_use]
     pub fn from_text(text: &'a str) -> Option<Self> {
         let text = text.trim_end();
@@ -50,31 +50,31 @@
         })
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&'a str> {
         self.fields.iter().find(|(k, _)| *k == key).map(|(_, v)| *v)
     }
 
-    /// The value of a field that holds a number.
+    /// Returns the value of a numeric field.
     #[must_use]
     pub fn number(&self, key: &str) -> Option<u64> {
         self.get(key)?.parse().ok()
     }
 
-    /// The model that a request asks for, with its adapter; none for a plain service.
+    /// Returns the requested model with its adapter; `None` for a plain service.
     #[must_use]
     pub fn asked(&self) -> Option<&'a str> {
         self.get("asked")?.strip_prefix("models/")
     }
 
-    /// The model that a request asks for, without its adapter.
+    /// Returns the requested model without its adapter.
     #[must_use]
     pub fn model(&self) -> Option<&'a str> {
         self.asked()?.split('+').next()
     }
 
-    /// When it was written, as text that sorts.
+    /// Returns the time of the line, as text that sorts by time.
     #[must_use]
     pub fn time(&self) -> &'a str {
         self.get("time").unwrap_or_default()
--- a/crates/explain/src/trace.rs
+++ b/crates/explain/src/trace.rs
@@ -1,14 +1,15 @@
-//! What all daemons wrote about one request.
+//! The lines of all daemons about one request.
 
 use crate::Line;
 use shaleline_types::LogEvent;
 use std::collections::BTreeSet;
 
-/// So many of the planner's lines about the model are shown before the request's last.
-const PLANS: usize = 8;
+/// The maximum number of related lines, such as the planner's about the model, that are added to
+/// the lines of a request.
+const MAX_CAUSE_LINES: usize = 8;
 
-/// Whether the line tells what became of a model, or of the adapter that is asked for.
-fn is_about(line: &Line<'_>, model: &str, asked: &str) -> bool {
+/// Whether the line reports a change of the model, or of the requested adapter.
+fn is_model_change(line: &Line<'_>, model: &str, asked: &str) -> bool {
     match line.event {
         LogEvent::MovePlanned | LogEvent::ModelAway | LogEvent::ModelBack => {
             [line.get("model"), line.get("victim")].contains(&Some(model))
@@ -21,16 +22,16 @@
     }
 }
 
-/// Who planned when, which an order that is missing hangs on.
-fn is_lease(line: &Line<'_>) -> bool {
+/// Whether the line reports a change of the planner's lease, which can explain a missing order.
+fn is_lease_change(line: &Line<'_>) -> bool {
     matches!(
         line.event,
         LogEvent::LeaseTaken | LogEvent::LeaseLost | LogEvent::LeaseInherited
     )
 }
 
-/// What tells that an upstream ended under a request, in any of its caller's attempts, and what came
-/// of that.
+/// Whether the line reports that an upstream ended while it ran the request, in any of the caller's
+/// attempts, or what followed from it.
 fn is_crash(line: &Line<'_>, request: &str) -> bool {
     let about = line.get("request") == Some(request);
     about
@@ -43,7 +44,8 @@
         }
 }
 
-/// The lines about the upstreams that ended under a request, by the request's identity.
+/// Returns the lines about the upstreams that ended while they ran a request, found by the request's
+/// identity.
 fn crashes<'a>(lines: &[Line<'a>], request: &str) -> Vec<Line<'a>> {
     let about = lines.iter().filter(|l| is_crash(l, request));
     let about: Vec<Line<'a>> = about.cloned().collect();
@@ -55,8 +57,8 @@
     ended.cloned().chain(about).collect()
 }
 
-/// Whether the line tells why a request was refused that was never asked an upstream for: its
-/// organisation had used up its allowance, or its key could not be relied on.
+/// Whether the line explains why a request was refused before it was sent to an upstream: its
+/// organisation had used up its allowance, or its key was unknown or could not be verified.
 fn is_cause(line: &Line<'_>, refused: &Line<'_>) -> bool {
     match refused.get("code") {
         Some("rate-limited") => {
@@ -71,22 +73,23 @@
     }
 }
 
-/// The last of the lines up to that time that tell of something.
+/// Returns the last matching lines up to the time of `last`.
 fn last_before<'a>(
     lines: &[Line<'a>],
     last: &Line<'a>,
-    about: impl Fn(&Line<'a>) -> bool,
+    matches: impl Fn(&Line<'a>) -> bool,
 ) -> Vec<Line<'a>> {
     let before = lines.iter().filter(|l| l.time() <= last.time());
-    let mut found: Vec<Line<'a>> = before.filter(|l| about(l)).cloned().collect();
+    let mut found: Vec<Line<'a>> = before.filter(|l| matches(l)).cloned().collect();
     found.sort_by_key(Line::time);
-    let skipped = found.len().saturating_sub(PLANS);
+    let skipped = found.len().saturating_sub(MAX_CAUSE_LINES);
     found.split_off(skipped)
 }
 
-/// The lines about a request, about the upstreams that ended under it in any attempt, and where no
-/// engine served what it asked for, the planner's last lines about that model before; where it was
-/// refused for its key or its organisation's allowance, what led to that. All by their time.
+/// Returns the lines about a request and about the upstreams that ended while they ran it, in any
+/// attempt. If no engine served its model, the planner's last lines about that model are added; if it
+/// was refused for its key or its organisation's allowance, the lines that explain this are added.
+/// All lines are sorted by time.
 #[must_use]
 pub fn trace<'a>(lines: &[Line<'a>], id: &str) -> Vec<Line<'a>> {
     let mut found: Vec<Line<'a>> = lines
@@ -106,9 +109,9 @@
     };
     let unserved = last.number("serving") == Some(0);
     let causes = match (last.model(), last.asked(), unserved) {
-        (Some(model), Some(asked), true) => {
-            last_before(lines, &last, |l| is_about(l, model, asked) || is_lease(l))
-        }
+        (Some(model), Some(asked), true) => last_before(lines, &last, |l| {
+            is_model_change(l, model, asked) || is_lease_change(l)
+        }),
         _ => last_before(lines, &last, |l| is_cause(l, &last)),
     };
     found.splice(0..0, causes);
--- a/crates/explain/tests/explain.rs
+++ b/crates/explain/tests/explain.rs
@@ -1,9 +1,9 @@
-//! Saved lines: what is read from them, what was lost, and why one request was refused.
+//! Parsing of saved lines, counts of lost requests, and the causes of a refusal.
 
 use shaleline_explain::{trace, Line, Losses, Tally};
 use shaleline_testkit::cases;
 
-/// The lines of two daemons, as a collector saved them, with what is no event in between.
+/// Lines of two daemons as a log collector saves them, among them one without an event.
 const LOG: &str = r#"
 7.2 entry-1 time=13:44:32.210 level=INFO event=5005 name=MovePlanned model=idle upstream=e1 value=12.0 asked=0.00 far=false loads=8 victim=frost victim_asked=15.09
 7.3 entry-1 time=13:44:32.258 level=INFO event=5001 name=OrderSent order="unload frost at e1 expecting 17" fence=1 reply=Accepted
@@ -29,47 +29,47 @@
 
 fn tally_of(model: &str) -> Option<Tally> {
     let mut losses = Losses::default();
-    lines().iter().for_each(|l| losses.note(l));
+    lines().iter().for_each(|l| losses.record(l));
     let models = losses.by_loss();
     models.iter().find(|(m, _)| *m == model).map(|(_, t)| *t)
 }
 
 cases! { tally_of;
-    refused_while_nobody_serves_it: "frost" => Some(Tally {
-        tries: 1,
-        away: 1,
-        away_ms: 2_600,
+    refused_while_no_engine_serves_the_model: "frost" => Some(Tally {
+        requests: 1,
+        unserved: 1,
+        unserved_ms: 2_600,
         ..Tally::default()
     }),
     refused_by_full_engines: "other" => Some(Tally {
-        tries: 2,
+        requests: 2,
         served: 1,
-        crowded: 1,
+        overloaded: 1,
         ..Tally::default()
     }),
-    plain_services_are_one: "(services)" => Some(Tally {
-        tries: 1,
+    plain_services_are_counted_together: "(services)" => Some(Tally {
+        requests: 1,
         failed: 1,
         ..Tally::default()
     }),
-    nobody_asked_for_it: "idle" => None,
+    model_without_requests: "idle" => None,
 }
 
-/// The numbers of the events that are shown about a request.
+/// Returns the event numbers of the lines that are shown for a request.
 fn shown(id: &str) -> Vec<u16> {
     let shown = trace(&lines(), id);
     shown.iter().map(|l| l.event.number()).collect()
 }
 
 cases! { shown;
-    // What the planner did with the model comes before.
-    one_whose_model_was_away: "r1" => vec![5005, 5001, 5006, 8202],
-    one_whose_engines_were_full: "r2" => vec![8202],
-    one_that_failed: "r4" => vec![8204, 8203],
-    one_that_is_not_in_the_lines: "r9" => Vec::<u16>::new(),
+    // The planner's lines about the model come first.
+    request_for_an_unserved_model: "r1" => vec![5005, 5001, 5006, 8202],
+    request_refused_by_full_engines: "r2" => vec![8202],
+    failed_request: "r4" => vec![8204, 8203],
+    request_without_lines: "r9" => Vec::<u16>::new(),
 }
 
-/// A field of a line; quotes hold spaces and equals signs together.
+/// Returns a field of a line; a quoted value may contain spaces and equals signs.
 fn field((text, key): (&str, &str)) -> Option<String> {
     Line::from_text(text)?.get(key).map(str::to_owned)
 }
@@ -79,11 +79,11 @@
     after_a_quoted_one: ("event=5001 order=\"load a=b\" reply=Accepted", "reply") => Some("Accepted".to_owned()),
     an_open_quote_ends_the_fields: ("event=5001 order=\"load", "order") => None,
     an_unknown_event: ("event=1 a=b", "a") => None,
-    no_number: ("event=x a=b", "a") => None,
+    malformed_event_number: ("event=x a=b", "a") => None,
 }
 
-/// Two attempts of one request at two daemons, under each of which an engine ended, and a third one
-/// that is refused.
+/// Two attempts of one request at two daemons, during each of which an engine ended, and a third
+/// attempt that is refused.
 const CRASHES: &str = "\
 time=10:00:01.000 event=8204 name=SendFailed id=a1 request=0f0f0f0f upstream=i-1 start=11 failure=Ended
 time=10:00:01.000 event=8103 name=UpstreamEnded upstream=i-1 start=11
@@ -95,7 +95,7 @@
 time=10:00:04.000 event=8203 name=RequestFailed id=a3 request=0f0f0f0f code=ends-upstreams serving=3";
 
 #[test]
-fn a_blocked_request_leads_to_the_upstreams_that_ended_under_it() {
+fn trace_of_a_blocked_request_includes_the_upstreams_that_ended() {
     let lines: Vec<Line<'_>> = CRASHES.lines().filter_map(Line::from_text).collect();
     let found = trace(&lines, "a3");
     let times: Vec<&str> = found.iter().map(Line::time).collect();
@@ -111,9 +111,10 @@
     assert!(found.iter().all(|l| l.get("start") != Some("99")));
 }
 
-/// Four callers ask for each of three adapters; one is served, and of one the planner says why not.
+/// Each of three adapters has four refused requests; one is then served, and for another the planner
+/// reports a reason.
 #[test]
-fn what_is_never_served_is_named_with_the_reason() {
+fn adapters_never_served_are_listed_with_the_reason() {
     let mut log = Vec::new();
     for adapter in ["a1", "a2", "a3"] {
         for _ in 0..4 {
@@ -132,7 +133,7 @@
     );
     let mut losses = Losses::default();
     let lines = log.iter().filter_map(|l| Line::from_text(l));
-    lines.for_each(|l| losses.note(&l));
+    lines.for_each(|l| losses.record(&l));
     let never = losses.never_served();
     let expected = [
         ("frost+a2", 4, "no-place"),
@@ -152,7 +153,7 @@
 time=10:00:09.000 event=3107 name=KeysKnown config=7 age_ms=90
 time=10:00:09.500 event=8202 name=RequestRefused id=q3 code=key-unknown org=none";
 
-/// The events that explain a refusal.
+/// Returns the event numbers of a refused request's trace.
 fn explained(id: &str) -> Vec<u16> {
     let lines: Vec<Line<'_>> = REFUSED.lines().filter_map(Line::from_text).collect();
     trace(&lines, id).iter().map(|l| l.event.number()).collect()
@@ -160,6 +161,6 @@
 
 cases! { explained;
     an_allowance_that_was_used_up: "q1" => vec![8205, 8202],
-    a_daemon_out_of_touch: "q2" => vec![2001, 3106, 8202],
+    stale_keys_after_the_log_was_lost: "q2" => vec![2001, 3106, 8202],
     an_unknown_key: "q3" => vec![3101, 8202],
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,9 +1,9 @@
-//! The one macro that the tests of this workspace share.
+//! The test macro shared by the crates of this workspace.
 
-/// Names each case of a table test, so that a failure reports the case and not the loop.
+/// Expands each case of a table test to a test of its own, so that a failure names the case.
 ///
-/// `cases! { check; name: args => expected, ... }` expands to one `#[test]` per line
-/// that asserts `check(args) == expected`.
+/// `cases! { check; name: args => expected, ... }` expands to one `#[test]` per case,
+/// which asserts `check(args) == expected`.
 #[macro_export]
 macro_rules! cases {
     ($check:path; $($name:ident: $arg:expr => $want:expr),+ $(,)?) => {
