--- a/crates/explain/src/trace.rs
+++ b/crates/explain/src/trace.rs
@@ -77,10 +77,10 @@
 fn last_before<'a>(
     lines: &[Line<'a>],
     last: &Line<'a>,
-    matches: impl Fn(&Line<'a>) -> bool,
+    relevant: impl Fn(&Line<'a>) -> bool,
 ) -> Vec<Line<'a>> {
     let before = lines.iter().filter(|l| l.time() <= last.time());
-    let mut found: Vec<Line<'a>> = before.filter(|l| matches(l)).cloned().collect();
+    let mut found: Vec<Line<'a>> = before.filter(|l| relevant(l)).cloned().collect();
     found.sort_by_key(Line::time);
     let skipped = found.len().saturating_sub(MAX_CAUSE_LINES);
     found.split_off(skipped)
--- a/crates/standin/src/address.rs
+++ b/crates/standin/src/address.rs
@@ -1,29 +1,26 @@
-//! Free addresses on loopback, for processes that must know each other's beforehand.
+//! Free addresses on loopback, for processes that need each other's address before they start.
 
 use eyre::{ensure, Result};
 use rand::Rng;
 use std::net::{SocketAddr, TcpListener};
 
-/// Below what systems draw the ports of outgoing connections from, so that none of those
-/// takes an address between its choice and its use.
-const FIRST: u16 = 20_000;
-const COUNT: u16 = 10_000;
+/// The first port of the range. The range lies below the usual ephemeral ports, so that no
+/// outgoing connection takes an address between its choice and its use.
+const FIRST_PORT: u16 = 20_000;
+const PORT_COUNT: u16 = 10_000;
 
-/// Addresses that nobody listens at now.
+/// Returns addresses that no process listens at.
 ///
 /// # Errors
-/// Where there are not so many.
+/// Fails if there are fewer than `count` free addresses.
 pub fn free_addresses(count: usize) -> Result<Vec<SocketAddr>> {
-    let start = rand::rng().random_range(0..COUNT);
-    let ports = (0..COUNT).map(|i| FIRST + (start + i) % COUNT);
+    let start = rand::rng().random_range(0..PORT_COUNT);
+    let ports = (0..PORT_COUNT).map(|i| FIRST_PORT + (start + i) % PORT_COUNT);
     let addresses = ports.map(|p| SocketAddr::from(([127, 0, 0, 1], p)));
     let free: Vec<SocketAddr> = addresses
         .filter(|a| TcpListener::bind(a).is_ok())
         .take(count)
         .collect();
-    ensure!(
-        free.len() == count,
-        "{count} free addresses are not to be had"
-    );
+    ensure!(free.len() == count, "fewer than {count} free addresses");
     Ok(free)
 }
--- a/crates/standin/src/bin/shaleline-standin.rs
+++ b/crates/standin/src/bin/shaleline-standin.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-ins as a process of their own.
+//! Runs the platform's stand-ins as a separate process.
 
 use eyre::{eyre, Result, WrapErr};
 use getopts::Options;
--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -1,4 +1,4 @@
-//! An engine's server.
+//! The HTTP server of an engine.
 
 use crate::fault::EngineFault;
 use crate::store::WeightStore;
@@ -26,13 +26,13 @@
     delay_orders: u64,
 }
 
-/// What the handlers of one engine share.
+/// The state shared by the handlers of one engine.
 pub(crate) struct EngineShared {
     state: Mutex<EngineState>,
     faults: Mutex<Faults>,
     cancelled: Mutex<VecDeque<(u64, u32)>>,
     last_report: Mutex<Option<(Instant, UpstreamReport)>>,
-    places: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
     store: Arc<WeightStore>,
     started: Instant,
     lag: Duration,
@@ -40,13 +40,13 @@
 
 impl EngineShared {
     pub(crate) fn new(state: EngineState, store: Arc<WeightStore>, lag: Duration) -> Self {
-        let places = Arc::new(Semaphore::new(state.spec().slots));
+        let slots = Arc::new(Semaphore::new(state.spec().slots));
         Self {
             state: Mutex::new(state),
             faults: Mutex::new(Faults::default()),
             cancelled: Mutex::new(VecDeque::new()),
             last_report: Mutex::new(None),
-            places,
+            slots,
             store,
             started: Instant::now(),
             lag,
@@ -112,7 +112,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Reports lag: an answer may be as old as the lag.
+/// Returns the engine's report, which may be as old as the report lag.
 async fn report(shared: Data<EngineShared>) -> Json<UpstreamReport> {
     let mut last = shared.last_report.lock().expect("no holder panics");
     if let Some((at, report)) = last.as_ref() {
@@ -142,7 +142,7 @@
     if delay > 0 {
         actix_web::rt::time::sleep(Duration::from_millis(delay)).await;
     }
-    let (load, life) = {
+    let (load, incarnation) = {
         let mut state = shared.state();
         (state.take(&order), state.incarnation())
     };
@@ -153,27 +153,27 @@
     let takes = shared.store.start(size.0, now);
     actix_web::rt::time::sleep(Duration::from_secs_f64(takes / 1_000.0)).await;
     shared.store.end();
-    shared.state().end_load(life, order.number, &item);
+    shared.state().end_load(incarnation, order.number, &item);
 }
 
-/// One sequence on the engine; its end frees its place.
+/// A sequence on the engine; its slot is released when it is dropped.
 struct Sequence {
     shared: Data<EngineShared>,
     request: Generate,
     item: Item,
-    life: u64,
+    incarnation: u64,
     index: u32,
     break_at: Option<u32>,
     prompt_ms: f64,
     ended: bool,
     started: bool,
-    _place: Option<OwnedSemaphorePermit>,
+    _slot: Option<OwnedSemaphorePermit>,
 }
 
 impl Drop for Sequence {
     fn drop(&mut self) {
         let mut state = self.shared.state();
-        if state.incarnation() != self.life {
+        if state.incarnation() != self.incarnation {
             return;
         }
         if self.started {
@@ -187,7 +187,7 @@
 async fn generate(shared: Data<EngineShared>, request: Json<Generate>) -> HttpResponse {
     let request = request.into_inner();
     let item = request.item.clone();
-    let life = {
+    let incarnation = {
         let mut state = shared.state();
         if !state.serves(&item) {
             return HttpResponse::Conflict().body("not loaded");
@@ -206,12 +206,12 @@
         shared,
         request,
         item,
-        life,
+        incarnation,
         break_at,
         prompt_ms: 0.0,
         ended: false,
         started: false,
-        _place: None,
+        _slot: None,
     };
     let pieces = stream::unfold(sequence, next_piece);
     HttpResponse::Ok()
@@ -229,8 +229,8 @@
         actix_web::rt::time::sleep(Duration::from_millis(50)).await;
     }
     if !s.started {
-        let place = Arc::clone(&s.shared.places).acquire_owned().await.ok()?;
-        s._place = Some(place);
+        let slot = Arc::clone(&s.shared.slots).acquire_owned().await.ok()?;
+        s._slot = Some(slot);
         let chars = s.request.prompt.len();
         let blocks = chars.div_ceil(BLOCK_CHARS);
         s.prompt_ms = s.shared.state().start(&s.item, &s.request.blocks, blocks);
@@ -239,7 +239,7 @@
     if s.shared.is_cancelled(s.request.id.0, s.request.attempt) {
         return None;
     }
-    if s.shared.state().incarnation() != s.life || s.break_at == Some(s.index) {
+    if s.shared.state().incarnation() != s.incarnation || s.break_at == Some(s.index) {
         s.ended = true;
         let broken = actix_web::error::ErrorInternalServerError("broken");
         return Some((Err(broken), s));
@@ -252,7 +252,7 @@
     Some((Ok(emit(&mut s)), s))
 }
 
-/// A block of a prompt, in characters; the engine's own measure.
+/// The size of a prompt block in the engine's own accounting, in characters.
 const BLOCK_CHARS: usize = 64;
 
 fn emit(s: &mut Sequence) -> Bytes {
--- a/crates/standin/src/engine_state.rs
+++ b/crates/standin/src/engine_state.rs
@@ -10,10 +10,10 @@
 const ORDERS_KEPT: usize = 256;
 const EVENTS_KEPT: usize = 256;
 
-/// One in so many cache events is never published.
+/// On average, one in this many cache events is not published.
 const EVENT_GAP: u32 = 8;
 
-/// How fast an engine is.
+/// The speed of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
     /// Milliseconds to read one block of a prompt that is not cached.
@@ -24,20 +24,20 @@
     pub more: f64,
 }
 
-/// An engine to stand in.
+/// The specification of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineSpec {
     /// Its name.
     pub name: Upstream,
     /// Its data centre.
     pub centre: DataCentre,
-    /// What its accelerator holds.
+    /// The memory of its accelerator.
     pub memory: Megabytes,
     /// Whether it refuses old fencing numbers.
     pub checks: bool,
-    /// How many sequences it runs at once.
+    /// The number of sequences that it runs concurrently.
     pub slots: usize,
-    /// How many blocks its prefix cache holds.
+    /// The capacity of its prefix cache, in blocks.
     pub blocks: usize,
     /// How fast it is.
     pub pace: Pace,
@@ -63,7 +63,7 @@
 }
 
 impl EngineState {
-    /// A fresh engine.
+    /// Creates an engine without resident models.
     #[must_use]
     pub fn new(spec: EngineSpec, seed: u64) -> Self {
         Self {
@@ -90,13 +90,13 @@
         &self.spec
     }
 
-    /// Its life.
+    /// Returns its incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Starts a new life that holds nothing.
+    /// Starts a new incarnation without resident models.
     pub fn restart(&mut self) {
         let refused = self.refused;
         let seed = self.rng.random();
@@ -106,7 +106,7 @@
         self.refused = refused;
     }
 
-    /// Says that it is leaving, or no longer is.
+    /// Sets whether it reports that it is leaving.
     pub fn set_leaving(&mut self, on: bool) {
         self.leaving = on;
     }
@@ -118,14 +118,14 @@
         Megabytes(sizes.map(|m| m.0).sum())
     }
 
-    /// How many orders would have overfilled its memory and were refused for it.
+    /// Returns the number of orders that were refused because they would have exceeded its memory.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    /// Takes an order. Returns the item to load, if a load begins. An engine that ignores
-    /// numbers carries out a late copy of an old order too.
+    /// Accepts an order. Returns the item to load if a load begins. An engine that ignores fencing
+    /// numbers also carries out a late copy of an old order.
     pub fn take(&mut self, order: &Order) -> Option<(Item, Megabytes)> {
         if self.spec.checks && self.orders.contains_key(&order.number) {
             return None;
@@ -162,7 +162,7 @@
         Some((item.clone(), order.size))
     }
 
-    /// A load is through.
+    /// Records the end of a load.
     pub fn end_load(&mut self, incarnation: u64, number: Offset, item: &Item) {
         if incarnation != self.incarnation {
             return;
@@ -203,12 +203,12 @@
         self.resident.contains_key(item) && !self.draining.contains(item)
     }
 
-    /// A sequence waits for a place.
+    /// Adds a sequence that waits for a slot.
     pub fn wait(&mut self) {
         self.waiting += 1;
     }
 
-    /// A sequence starts. Returns how many milliseconds its prompt takes.
+    /// Starts a sequence. Returns the time to process its prompt, in milliseconds.
     pub fn start(&mut self, item: &Item, blocks: &[u64], total: usize) -> f64 {
         self.waiting = self.waiting.saturating_sub(1);
         *self.running.entry(item.clone()).or_default() += 1;
@@ -234,32 +234,32 @@
         }
     }
 
-    /// A sequence that waited goes away.
+    /// Removes a sequence that was waiting.
     pub fn leave(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// A sequence ends.
+    /// Ends a running sequence.
     pub fn end(&mut self, item: &Item) {
         if let Some(n) = self.running.get_mut(item) {
             *n = n.saturating_sub(1);
         }
     }
 
-    /// How many sequences run.
+    /// Returns the number of running sequences.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.running.values().sum()
     }
 
-    /// Milliseconds of a step with what runs now.
+    /// Returns the duration of a step with the sequences that run now, in milliseconds.
     #[must_use]
     pub fn step_ms(&self) -> f64 {
         let others = self.busy().saturating_sub(1) as f64;
         self.spec.pace.step + others * self.spec.pace.more
     }
 
-    /// Its report.
+    /// Returns its report and clears the published cache events.
     pub fn report(&mut self) -> UpstreamReport {
         let pair = |(item, size): (&Item, &Megabytes)| Resident {
             item: item.clone(),
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,28 +1,28 @@
-//! Faults on command, the bodies of `POST /fault`.
+//! Injected faults, the bodies of `POST /fault`.
 
 use serde::{Deserialize, Serialize};
 use shaleline_types::{Offset, Stream};
 
-/// Faults of the log and the list.
+/// Faults of the log and the list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFault {
-    /// No answer for so many milliseconds.
+    /// Requests to the log fail for this many milliseconds.
     Outage(u64),
-    /// So many appends take effect without an answer.
+    /// This many appends take effect, and their responses are lost.
     LoseAnswers(u32),
-    /// So many appends take effect only after so many milliseconds, without an answer.
+    /// Appends take effect late, and their responses are lost.
     Late {
-        /// How many.
+        /// The number of appends.
         count: u32,
-        /// How late.
+        /// The delay in milliseconds.
         ms: u64,
     },
     /// Records of a stream before an offset are dropped.
     Trim {
         /// The stream.
         stream: Stream,
-        /// The offset of the oldest record that stays.
+        /// The offset of the oldest record that is kept.
         before: Offset,
     },
     /// The list shows an instance as leaving.
@@ -35,22 +35,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineFault {
-    /// Requests are taken and never answered.
+    /// Requests are accepted and get no response while this is set.
     Hang(bool),
-    /// The next so many streams break after so many tokens.
+    /// The next streams break after a number of tokens.
     Break {
-        /// How many streams.
+        /// The number of streams.
         count: u32,
-        /// After how many tokens.
+        /// The number of tokens before the break.
         after: u32,
     },
-    /// It reports that it is leaving.
+    /// The upstream reports that it is leaving.
     Leaving(bool),
-    /// The next so many orders are lost.
+    /// This many of the next orders are lost.
     LoseOrders(u32),
-    /// Orders take effect so many milliseconds late.
+    /// Orders take effect with a delay of this many milliseconds.
     DelayOrders(u64),
-    /// It starts anew: a new life that holds nothing.
+    /// The engine restarts: a new incarnation without resident models.
     Restart,
 }
 
@@ -58,12 +58,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceFault {
-    /// Calls are taken and never answered.
+    /// Calls are accepted and get no response while this is set.
     Hang(bool),
-    /// The next so many calls run, and their answers are lost.
+    /// This many of the next calls run, and their responses are lost.
     LoseAnswers(u32),
-    /// Each call takes so many milliseconds.
+    /// Each call takes this many milliseconds.
     Slow(u64),
-    /// It reports that it is leaving.
+    /// The upstream reports that it is leaving.
     Leaving(bool),
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Small stand-ins for the platform: log, weight store, instance list, engine, plain
-//! service. They answer at their interface and take faults on command; they model no
-//! network, process or cluster.
+//! Stand-ins for the platform: log, weight store, instance list, engine, plain service. They
+//! implement the platform's interfaces and inject faults on request; they model no network,
+//! process or cluster.
 //!
-//! [`Standins::start`] brings all of them up on loopback. Each server takes faults by
-//! `POST /fault`: [`LogFault`], [`EngineFault`], [`ServiceFault`]. [`MemoryLog`] is the
-//! log without its server, for tests and experiments.
+//! [`Standins::start`] starts all of them on loopback. Each server injects a fault that is
+//! sent with `POST /fault`: [`LogFault`], [`EngineFault`], [`ServiceFault`]. [`MemoryLog`] is
+//! the log without its server, for tests and experiments.
 
 mod address;
 mod engine_server;
--- a/crates/standin/src/log_state.rs
+++ b/crates/standin/src/log_state.rs
@@ -4,23 +4,23 @@
 use shaleline_types::{Millis, Offset, Stream};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most records that one read returns.
-const MOST_READ: usize = 2_000;
+/// The maximum number of records that one read returns.
+const MAX_READ_RECORDS: usize = 2_000;
 
-/// Why an append had no effect.
+/// The reason that an append had no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendError {
-    /// The service accepts no more appends this second.
+    /// The limit of appends in the current second is reached.
     RateLimited,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct StreamRecords {
     oldest: u64,
     records: VecDeque<String>,
 }
 
-impl Kept {
+impl StreamRecords {
     fn tail(&self) -> u64 {
         self.oldest + self.records.len() as u64
     }
@@ -29,7 +29,7 @@
 /// Streams of records with offsets, a rate limit and retention.
 #[derive(Debug)]
 pub struct MemoryLog {
-    streams: BTreeMap<Stream, Kept>,
+    streams: BTreeMap<Stream, StreamRecords>,
     rate: u64,
     second: u64,
     used: u64,
@@ -37,7 +37,7 @@
 }
 
 impl MemoryLog {
-    /// An empty log that accepts `rate` appends a second.
+    /// Creates an empty log that accepts `rate` appends a second.
     #[must_use]
     pub fn new(rate: u64) -> Self {
         Self {
@@ -49,10 +49,10 @@
         }
     }
 
-    /// Appends records as one run and returns the offset of the first.
+    /// Appends records at consecutive offsets and returns the offset of the first.
     ///
     /// # Errors
-    /// [`AppendError`] where nothing was appended.
+    /// Returns an [`AppendError`] if nothing was appended.
     pub fn append(
         &mut self,
         stream: &Stream,
@@ -75,7 +75,7 @@
         Ok(first)
     }
 
-    /// Reads from an offset on.
+    /// Reads records, starting at an offset.
     #[must_use]
     pub fn read(&self, stream: &Stream, from: Offset) -> ReadBatch {
         let Some(kept) = self.streams.get(stream) else {
@@ -87,7 +87,7 @@
             offset: Offset(first + i as u64),
             text: text.clone(),
         };
-        let rest = kept.records.iter().skip(skip).take(MOST_READ);
+        let rest = kept.records.iter().skip(skip).take(MAX_READ_RECORDS);
         ReadBatch {
             oldest: Offset(kept.oldest),
             tail: Offset(kept.tail()),
@@ -104,15 +104,15 @@
         }
     }
 
-    /// How many appends were accepted.
+    /// Returns the number of accepted appends.
     #[must_use]
     pub fn appends(&self) -> u64 {
         self.appends
     }
 
-    /// The offset that the next record of a stream gets.
+    /// Returns the offset of the next record of a stream.
     #[must_use]
     pub fn tail(&self, stream: &Stream) -> Offset {
-        Offset(self.streams.get(stream).map_or(0, Kept::tail))
+        Offset(self.streams.get(stream).map_or(0, StreamRecords::tail))
     }
 }
--- a/crates/standin/src/platform_server.rs
+++ b/crates/standin/src/platform_server.rs
@@ -14,7 +14,7 @@
 
 struct Entry {
     listed: Listed,
-    /// The list shows an instance and its changes only after its lag.
+    /// The time from which the list shows the instance or its last change.
     shown: Instant,
     was_leaving: bool,
     removed: Option<Instant>,
@@ -28,7 +28,7 @@
     late_ms: u64,
 }
 
-/// What the handlers of the platform share.
+/// The state shared by the handlers of the platform.
 pub(crate) struct PlatformShared {
     log: Mutex<MemoryLog>,
     list: Mutex<Vec<Entry>>,
@@ -73,7 +73,7 @@
         until.is_some_and(|u| Instant::now() < u)
     }
 
-    /// Shows an instance in the list, at once or after the lag.
+    /// Adds an instance to the list, immediately or after the lag.
     pub(crate) fn put(&self, listed: Listed, at_once: bool) {
         let lag = if at_once { Duration::ZERO } else { self.lag };
         let mut list = self.list();
--- a/crates/standin/src/sample.rs
+++ b/crates/standin/src/sample.rs
@@ -1,16 +1,16 @@
-//! Both deployments at their sizes of today, and a small one for tests.
+//! Both deployments at their present sizes, and a small one for tests.
 
 use crate::{EngineSpec, Pace, ServiceSpec, StandinSettings, StoreSpec};
 use shaleline_types::{DataCentre, Megabytes, Service, Upstream};
 
-/// A deployment to stand in.
+/// A sample deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sample {
     /// Three engines and one service.
     Small,
-    /// Mrazník: 12 engines, 3 replicas of the alert gateway; engines check numbers.
+    /// Mrazník: 12 engines, 3 replicas of the alert gateway; engines check fencing numbers.
     Mraznik,
-    /// The Agencia: 18 engines, 3 replicas of the scheduling service; engines ignore them.
+    /// The Agencia: 18 engines, 3 replicas of the scheduling service; engines ignore fencing numbers.
     Agencia,
 }
 
@@ -18,7 +18,7 @@
 const MEMORY: Megabytes = Megabytes(80_000);
 
 impl Sample {
-    /// The sample of this name.
+    /// Returns the sample with this name.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What to bring up for it.
+    /// Returns the settings of its stand-ins.
     #[must_use]
     pub fn settings(self) -> StandinSettings {
         let (engines, replicas, service, checks) = match self {
--- a/crates/standin/src/service_server.rs
+++ b/crates/standin/src/service_server.rs
@@ -1,4 +1,4 @@
-//! A plain service: it counts how often each key ran.
+//! The HTTP server of a plain service, which counts the runs of each key.
 
 use crate::fault::ServiceFault;
 use actix_web::web::{Bytes, Data, Json, ServiceConfig};
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A replica of a plain service to stand in.
+/// The specification of a replica of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceSpec {
     /// Its name.
@@ -18,7 +18,7 @@
     pub service: Service,
     /// Its data centre.
     pub centre: DataCentre,
-    /// How many calls it takes at once.
+    /// The number of calls that it accepts concurrently.
     pub slots: usize,
 }
 
@@ -32,7 +32,7 @@
     leaving: bool,
 }
 
-/// What the handlers of one service share. The replicas of a service share their count.
+/// The state shared by the handlers of one replica. Each replica counts its own runs.
 pub(crate) struct ServiceShared {
     spec: ServiceSpec,
     state: Mutex<State>,
@@ -87,7 +87,7 @@
     })
 }
 
-/// Counts a call as running until it ends, however it ends.
+/// Counts a call as running until it is dropped, however the call ends.
 struct Running(Data<ServiceShared>);
 
 impl Drop for Running {
--- a/crates/standin/src/start.rs
+++ b/crates/standin/src/start.rs
@@ -1,4 +1,4 @@
-//! Brings the stand-ins up.
+//! Starts the stand-ins.
 
 use crate::engine_server::{self, EngineShared};
 use crate::platform_server::{self, PlatformShared};
@@ -17,28 +17,28 @@
 
 const BODY_LIMIT: usize = 64 << 20;
 
-/// What to bring up.
+/// The settings of the stand-ins.
 #[derive(Debug, Clone)]
 pub struct StandinSettings {
     /// The address that all listen at.
     pub ip: IpAddr,
-    /// The platform's port, the others' following; 0 for any.
+    /// The platform's port; the others use the ports that follow. 0 selects any free ports.
     pub port: u16,
     /// The engines.
     pub engines: Vec<EngineSpec>,
     /// The replicas of plain services.
     pub services: Vec<ServiceSpec>,
-    /// What the weight store allows.
+    /// The limits of the weight store.
     pub store: StoreSpec,
-    /// Appends a second that the log accepts.
+    /// The number of appends per second that the log accepts.
     pub log_rate: u64,
-    /// Milliseconds that an append takes.
+    /// The duration of an append in milliseconds.
     pub append_ms: u64,
-    /// How far the list of instances lags.
+    /// The delay until the list of instances shows a change.
     pub list_lag: Duration,
-    /// How far engines' reports lag.
+    /// The maximum age of an engine's report.
     pub report_lag: Duration,
-    /// The seed of whatever is random.
+    /// The seed of the random generators.
     pub seed: u64,
 }
 
@@ -59,13 +59,13 @@
     }
 }
 
-/// Stand-ins that are up.
+/// The running stand-ins.
 pub struct Standins {
-    /// Where the log and the list answer.
+    /// The address of the log and the list.
     pub platform: SocketAddr,
-    /// Where each engine answers, in order.
+    /// The address of each engine, in order.
     pub engines: Vec<SocketAddr>,
-    /// Where each replica of a plain service answers, in order.
+    /// The address of each replica of a plain service, in order.
     pub services: Vec<SocketAddr>,
     handles: Vec<ServerHandle>,
     thread: Option<JoinHandle<()>>,
@@ -110,7 +110,7 @@
     Ok(server.listen(bound.listener)?.run())
 }
 
-/// The servers of all stand-ins, and where they answer.
+/// The servers of all stand-ins and their addresses.
 struct Planned {
     servers: Vec<Server>,
     platform: SocketAddr,
@@ -178,21 +178,21 @@
 }
 
 impl Standins {
-    /// Brings the stand-ins up in a thread of their own.
+    /// Starts the stand-ins in a separate thread.
     ///
     /// # Errors
-    /// Where an address can't be listened at.
+    /// Fails if an address can't be bound.
     pub fn start(settings: StandinSettings) -> Result<Self> {
-        let (tell, told) = mpsc::channel();
+        let (sender, receiver) = mpsc::channel();
         let thread = std::thread::Builder::new()
             .name("standins".to_owned())
-            .spawn(move || run(&settings, &tell))?;
-        let mut standins = told.recv().wrap_err("the stand-ins did not come up")??;
+            .spawn(move || run(&settings, &sender))?;
+        let mut standins = receiver.recv().wrap_err("the stand-ins did not start")??;
         standins.thread = Some(thread);
         Ok(standins)
     }
 
-    /// Stops them and waits until they have.
+    /// Stops the stand-ins and waits until they have ended.
     pub fn stop(mut self) {
         for handle in &self.handles {
             drop(handle.stop(false));
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Waits until they stop by themselves.
+    /// Waits until the stand-ins end.
     pub fn join(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -210,12 +210,12 @@
     }
 }
 
-fn run(settings: &StandinSettings, tell: &mpsc::Sender<Result<Standins>>) {
+fn run(settings: &StandinSettings, sender: &mpsc::Sender<Result<Standins>>) {
     actix_web::rt::System::new().block_on(async {
         let planned = match plan(settings) {
             Ok(planned) => planned,
             Err(e) => {
-                let _ = tell.send(Err(e));
+                let _ = sender.send(Err(e));
                 return;
             }
         };
@@ -226,7 +226,7 @@
             handles: planned.servers.iter().map(Server::handle).collect(),
             thread: None,
         };
-        let _ = tell.send(Ok(standins));
+        let _ = sender.send(Ok(standins));
         let _ = futures_util::future::join_all(planned.servers).await;
     });
 }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,15 +1,15 @@
-//! The weight store: so many loads a second, so many at once at full speed.
+//! The weight store, with a limit on load starts per second and on concurrent loads at full speed.
 
 use std::sync::Mutex;
 
-/// What the store allows.
+/// The limits of the store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreSpec {
-    /// Loads that may start a second.
+    /// The number of loads that may start per second.
     pub rate: f64,
-    /// Loads at once before each gets slower.
+    /// The number of concurrent loads above which each is slowed down.
     pub at_once: usize,
-    /// Milliseconds that a gigabyte takes at full speed.
+    /// The time to load a gigabyte at full speed, in milliseconds.
     pub gigabyte_ms: f64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Now {
+struct StoreState {
     running: usize,
     next_start: f64,
 }
@@ -33,28 +33,28 @@
 #[derive(Debug)]
 pub struct WeightStore {
     spec: StoreSpec,
-    now: Mutex<Now>,
+    now: Mutex<StoreState>,
 }
 
 impl WeightStore {
-    /// A store with these limits.
+    /// Creates a store with these limits.
     #[must_use]
     pub fn new(spec: StoreSpec) -> Self {
         Self {
             spec,
-            now: Mutex::new(Now::default()),
+            now: Mutex::new(StoreState::default()),
         }
     }
 
-    /// Starts a load of so many megabytes at `now` (milliseconds) and returns how many
-    /// milliseconds it takes, the wait for a start included.
+    /// Starts a load at `now` (milliseconds) and returns its duration in milliseconds, including
+    /// the wait for its start.
     pub fn start(&self, megabytes: u64, now: f64) -> f64 {
         let mut state = self.now.lock().expect("no holder panics");
         let start = state.next_start.max(now);
         state.next_start = start + 1_000.0 / self.spec.rate;
         state.running += 1;
-        let crowd = (state.running as f64 / self.spec.at_once as f64).max(1.0);
-        start - now + megabytes as f64 / 1_000.0 * self.spec.gigabyte_ms * crowd
+        let slowdown = (state.running as f64 / self.spec.at_once as f64).max(1.0);
+        start - now + megabytes as f64 / 1_000.0 * self.spec.gigabyte_ms * slowdown
     }
 
     /// Ends a load.
