--- a/crates/standin/src/platform_server.rs
+++ b/crates/standin/src/platform_server.rs
@@ -1,9 +1,9 @@
 //! The log service and the list of instances.
 
-use actix_web::{HttpResponse, web};
-use actix_web::web::{Data, Json, Path, Query, ServiceConfig};
 use crate::fault::LogFault;
 use crate::log_state::MemoryLog;
+use actix_web::web::{Data, Json, Path, Query, ServiceConfig};
+use actix_web::{web, HttpResponse};
 use serde::Deserialize;
 use shaleline_border::ListedInstance;
 use shaleline_dialect::{AppendRequest, AppendResponse};
