--- a/crates/demo/src/check.rs
+++ b/crates/demo/src/check.rs
@@ -1,8 +1,8 @@
-//! The main steps, one after the other.
+//! Runs the main steps of the demo in order and checks the result of each.
 
-use crate::client::{self, Called};
+use crate::client::{self, ServiceResponse};
+use crate::cluster::Cluster;
 use crate::deployment::Deployment;
-use crate::system::System;
 use awc::Client;
 use eyre::{bail, ensure, eyre, Result};
 use futures_util::future::{join, join_all};
@@ -15,18 +15,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(25);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_TIMEOUT: Duration = Duration::from_secs(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Prints a line per step and counts.
+/// Runs steps, prints a line for each and counts those that passed and failed.
 #[derive(Default)]
-struct Tally {
+struct StepRunner {
     passed: u32,
     failed: u32,
 }
 
-impl Tally {
-    async fn step(&mut self, name: &str, step: impl Future<Output = Result<String>>) -> bool {
+impl StepRunner {
+    async fn run_step(&mut self, name: &str, step: impl Future<Output = Result<String>>) -> bool {
         let started = Instant::now();
         let result = step.await;
         let took = started.elapsed().as_millis();
@@ -45,7 +45,7 @@
     }
 }
 
-/// One caller's organisation.
+/// An organisation with its token and the names of its models and adapters.
 struct Caller {
     org: Organisation,
     token: String,
@@ -54,73 +54,78 @@
 
 struct Check {
     client: Client,
-    system: System,
+    cluster: Cluster,
     fleet: Fleet,
     service: &'static str,
     callers: Vec<Caller>,
 }
 
-/// Goes through the steps. Returns whether all hold.
+/// Runs the steps. Returns whether all of them passed.
 pub async fn run(sample: Sample) -> Result<bool> {
-    let mut tally = Tally::default();
-    let deployment = Deployment::of(sample);
+    let mut runner = StepRunner::default();
+    let deployment = Deployment::for_sample(sample);
     let mut check = Check {
         client: client::new_client(),
-        system: System::start(sample, 0)?,
+        cluster: Cluster::start(sample, 0)?,
         fleet: deployment.fleet()?,
         service: deployment.service,
-        callers: deployment.orgs()?.into_iter().map(caller).collect(),
+        callers: deployment.orgs()?.into_iter().map(new_caller).collect(),
     };
     let ops = deployment.ops()?;
-    let ok = tally.step("three daemons are ready", check.ready()).await
-        && tally
-            .step(
+    let ok = runner
+        .run_step("three daemons are ready", check.wait_ready())
+        .await
+        && runner
+            .run_step(
                 "templates and organisations are in force",
-                check.publish(&ops),
+                check.apply_ops(&ops),
             )
             .await
-        && tally
-            .step("each organisation has a token", check.tokens())
+        && runner
+            .run_step("each organisation has a token", check.add_tokens())
             .await;
     if ok {
-        tally
-            .step("every model and adapter answers", check.reach_all())
+        runner
+            .run_step("every model and adapter answers", check.check_models())
             .await;
-        tally
-            .step(
+        runner
+            .run_step(
                 "streams through each daemon are whole and their own",
-                check.streams(),
+                check.check_streams(),
             )
             .await;
-        tally
-            .step("another's model looks like an unknown one", check.foreign())
+        runner
+            .run_step(
+                "another's model looks like an unknown one",
+                check.check_foreign_model(),
+            )
             .await;
-        tally
-            .step(
+        runner
+            .run_step(
                 "a booking sent to two daemons at once runs once",
-                check.book(),
+                check.check_concurrent_calls(),
             )
             .await;
-        tally
-            .step(
+        runner
+            .run_step(
                 "a daemon is replaced under load and cuts off nothing",
-                check.replace(),
+                check.replace_daemon(),
             )
             .await;
-        tally
-            .step("the new daemon knows the booking", check.book_again())
+        runner
+            .run_step("the new daemon knows the booking", check.check_replay())
             .await;
-        tally
-            .step("no accelerator was overfilled", check.memory())
+        runner
+            .run_step("no accelerator was overfilled", check.check_memory())
             .await;
     }
-    let Check { system, .. } = check;
-    system.stop();
-    println!("{} passed, {} failed", tally.passed, tally.failed);
-    Ok(tally.failed == 0)
+    let Check { cluster, .. } = check;
+    cluster.stop();
+    println!("{} passed, {} failed", runner.passed, runner.failed);
+    Ok(runner.failed == 0)
 }
 
-fn caller(org: Organisation) -> Caller {
+fn new_caller(org: Organisation) -> Caller {
     let names = |key: &str| match org.values.get(key) {
         Some(Value::Names(names)) => names.clone(),
         _ => Vec::new(),
@@ -134,100 +139,112 @@
     }
 }
 
-async fn until<F: Future<Output = bool>>(what: &str, mut test: impl FnMut() -> F) -> Result<()> {
+async fn wait_until<F: Future<Output = bool>>(
+    condition: &str,
+    mut test: impl FnMut() -> F,
+) -> Result<()> {
     let started = Instant::now();
     while !test().await {
-        if started.elapsed() > PATIENCE {
-            bail!("not within {PATIENCE:?}: {what}");
+        if started.elapsed() > POLL_TIMEOUT {
+            bail!("timed out after {POLL_TIMEOUT:?} while waiting for: {condition}");
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
 impl Check {
-    fn entry(&self, index: usize) -> SocketAddr {
-        self.system.daemons[index % self.system.daemons.len()].caller
+    fn daemon_address(&self, index: usize) -> SocketAddr {
+        self.cluster.daemons[index % self.cluster.daemons.len()].caller
     }
 
-    fn item(&self, name: &str) -> Result<Item> {
+    fn find_item(&self, name: &str) -> Result<Item> {
         if let Some(spec) = self.fleet.model(name) {
             return Ok(Item::base(&spec.name, spec.version));
         }
         let spec = self
             .fleet
             .adapter(name)
-            .ok_or_else(|| eyre!("no model {name}"))?;
+            .ok_or_else(|| eyre!("the fleet has no model or adapter {name}"))?;
         Ok(Item::base(&spec.base, 1).with_adapter(&spec.name))
     }
 
-    async fn ready(&self) -> Result<String> {
-        for daemon in &self.system.daemons {
-            until("ready", || client::is_ready(&self.client, daemon.caller)).await?;
+    async fn wait_ready(&self) -> Result<String> {
+        for daemon in &self.cluster.daemons {
+            wait_until("the daemon is ready", || {
+                client::is_ready(&self.client, daemon.caller)
+            })
+            .await?;
         }
-        Ok(format!("{}", self.system.daemons.len()))
+        Ok(format!("{}", self.cluster.daemons.len()))
     }
 
-    async fn publish(&self, ops: &[shaleline_config::Op]) -> Result<String> {
-        let admin = self.system.daemons[0].admin;
+    async fn apply_ops(&self, ops: &[shaleline_config::Op]) -> Result<String> {
+        let admin = self.cluster.daemons[0].admin;
         let mut last = 0;
         for (i, op) in ops.iter().enumerate() {
             let id = format!("setup-{i}");
-            let answer = client::change(&self.client, admin, &id, None, op).await?;
-            ensure!(answer["in_force_on_all"] == true, "not in force: {answer}");
+            let answer = client::apply_change(&self.client, admin, &id, None, op).await?;
+            ensure!(
+                answer["in_force_on_all"] == true,
+                "the change is not in force on all daemons: {answer}"
+            );
             last = answer["accepted_at"].as_u64().unwrap_or(0);
-            let again = client::change(&self.client, admin, &id, None, op).await?;
+            let again = client::apply_change(&self.client, admin, &id, None, op).await?;
             ensure!(
                 again["accepted_at"] == answer["accepted_at"],
-                "a repeat differs"
+                "a repeated change was accepted at another offset"
             );
         }
         Ok(format!("{} changes, the last at offset {last}", ops.len()))
     }
 
-    async fn tokens(&self) -> Result<String> {
-        let admin = self.system.daemons[1].admin;
+    async fn add_tokens(&self) -> Result<String> {
+        let admin = self.cluster.daemons[1].admin;
         for caller in &self.callers {
             client::add_token(&self.client, admin, &caller.org.name, &caller.token).await?;
         }
         Ok(format!("{}", self.callers.len()))
     }
 
-    async fn ask(
+    async fn check_completion(
         &self,
-        entry: SocketAddr,
+        address: SocketAddr,
         caller: &Caller,
         name: &str,
         prompt: &str,
         tokens: u32,
     ) -> Result<()> {
         let text =
-            client::complete(&self.client, entry, &caller.token, name, prompt, tokens).await?;
-        let want = answer_text(&self.item(name)?, prompt, tokens);
+            client::stream_completion(&self.client, address, &caller.token, name, prompt, tokens)
+                .await?;
+        let expected = answer_text(&self.find_item(name)?, prompt, tokens);
         ensure!(
-            text == want,
-            "the answer is not the whole answer to its own request"
+            text == expected,
+            "the completion differs from the expected text of the request"
         );
         Ok(())
     }
 
-    async fn reach_all(&self) -> Result<String> {
+    async fn check_models(&self) -> Result<String> {
         let mut count = 0;
         for caller in &self.callers {
             for (i, name) in caller.models.iter().enumerate() {
-                let entry = self.entry(i);
+                let address = self.daemon_address(i);
                 let last = Rc::new(Cell::new(None));
-                let tried = until(name, || {
+                let polled = wait_until(name, || {
                     let last = Rc::clone(&last);
                     async move {
-                        let result = self.ask(entry, caller, name, "are you there", 2).await;
+                        let result = self
+                            .check_completion(address, caller, name, "are you there", 2)
+                            .await;
                         let ok = result.is_ok();
                         last.set(result.err());
                         ok
                     }
                 })
                 .await;
-                if let (Err(e), Some(cause)) = (tried, last.take()) {
+                if let (Err(e), Some(cause)) = (polled, last.take()) {
                     bail!("{e}: {cause:#}");
                 }
                 count += 1;
@@ -236,25 +253,28 @@
         Ok(format!("{count} models and adapters"))
     }
 
-    async fn streams(&self) -> Result<String> {
-        let mut asks = Vec::new();
-        for index in 0..self.system.daemons.len() {
+    async fn check_streams(&self) -> Result<String> {
+        let mut requests = Vec::new();
+        for index in 0..self.cluster.daemons.len() {
             for caller in &self.callers {
                 for (i, name) in caller.models.iter().take(6).enumerate() {
                     let prompt = format!("prompt {index} {i} of {}", caller.org.name);
-                    let entry = self.entry(index);
-                    asks.push(async move { self.ask(entry, caller, name, &prompt, 40).await });
+                    let address = self.daemon_address(index);
+                    requests.push(async move {
+                        self.check_completion(address, caller, name, &prompt, 40)
+                            .await
+                    });
                 }
             }
         }
-        let count = asks.len();
-        for result in join_all(asks).await {
+        let count = requests.len();
+        for result in join_all(requests).await {
             result?;
         }
         Ok(format!("{count} streams of 40 tokens"))
     }
 
-    async fn foreign(&self) -> Result<String> {
+    async fn check_foreign_model(&self) -> Result<String> {
         let (own, other) = (&self.callers[0], &self.callers[1]);
         let strip = |text: String, name: &str| {
             let text = text.replace(name, "");
@@ -264,36 +284,49 @@
                 .to_owned()
         };
         let name = &other.models[0];
-        let entry = self.entry(0);
-        let foreign = self.ask(entry, own, name, "hello", 2).await;
-        let unknown = self.ask(entry, own, "no-such-model", "hello", 2).await;
+        let address = self.daemon_address(0);
+        let foreign = self.check_completion(address, own, name, "hello", 2).await;
+        let unknown = self
+            .check_completion(address, own, "no-such-model", "hello", 2)
+            .await;
         let (Err(foreign), Err(unknown)) = (foreign, unknown) else {
-            bail!("a model that is not its own answered");
+            bail!("a request for a model of another organisation or an unknown model succeeded");
         };
         let foreign = strip(foreign.to_string(), name);
         ensure!(
             foreign == strip(unknown.to_string(), "no-such-model"),
-            "the answers differ"
+            "the errors for a foreign and an unknown model differ"
         );
         Ok("the same answer".to_owned())
     }
 
-    async fn confirm(&self, entry: usize, key: &str) -> Result<Called> {
+    async fn call_confirm(&self, index: usize, key: &str) -> Result<ServiceResponse> {
         let token = &self.callers[0].token;
-        client::call(&self.client, self.entry(entry), token, self.service, key).await
+        client::call_service(
+            &self.client,
+            self.daemon_address(index),
+            token,
+            self.service,
+            key,
+        )
+        .await
     }
 
-    async fn runs(&self, key: &str) -> Result<u64> {
+    async fn count_runs(&self, key: &str) -> Result<u64> {
         let mut runs = 0;
-        for address in &self.system.standins.services {
-            let counts = client::get(&self.client, &format!("http://{address}/runs")).await?;
+        for address in &self.cluster.standins.services {
+            let counts = client::get_json(&self.client, &format!("http://{address}/runs")).await?;
             runs += counts[key].as_u64().unwrap_or(0);
         }
         Ok(runs)
     }
 
-    async fn book(&self) -> Result<String> {
-        let (one, two) = join(self.confirm(0, "booking-1"), self.confirm(1, "booking-1")).await;
+    async fn check_concurrent_calls(&self) -> Result<String> {
+        let (one, two) = join(
+            self.call_confirm(0, "booking-1"),
+            self.call_confirm(1, "booking-1"),
+        )
+        .await;
         let (one, two) = (one?, two?);
         ensure!(
             one.status == 200 && two.status == 200,
@@ -307,37 +340,48 @@
             one.outcome,
             two.outcome
         );
-        ensure!(one.body == two.body, "the answers differ");
-        let runs = self.runs("booking-1").await?;
-        ensure!(runs == 1, "it ran {runs} times");
+        ensure!(
+            one.body == two.body,
+            "the two daemons returned different responses"
+        );
+        let runs = self.count_runs("booking-1").await?;
+        ensure!(runs == 1, "the call ran {runs} times instead of once");
         Ok("one run, one answer, told to both".to_owned())
     }
 
-    async fn book_again(&self) -> Result<String> {
-        let last = self.system.daemons.len() - 1;
-        let again = self.confirm(last, "booking-1").await?;
+    async fn check_replay(&self) -> Result<String> {
+        let last = self.cluster.daemons.len() - 1;
+        let again = self.call_confirm(last, "booking-1").await?;
         ensure!(
             again.status == 200 && again.outcome == "run",
             "{}",
             again.body
         );
-        ensure!(self.runs("booking-1").await? == 1, "it ran again");
+        ensure!(
+            self.count_runs("booking-1").await? == 1,
+            "the replayed call did not run exactly once"
+        );
         Ok("the kept answer, no second run".to_owned())
     }
 
-    /// Streams go on through all daemons while one is stopped and another started.
-    async fn replace(&mut self) -> Result<String> {
-        let leaving = self.system.daemons.remove(0);
+    /// Checks that streams through all daemons complete while one daemon stops, then starts
+    /// another.
+    async fn replace_daemon(&mut self) -> Result<String> {
+        let leaving = self.cluster.daemons.remove(0);
         let streams = Rc::new(Cell::new(0_u32));
         let stop = Rc::new(Cell::new(false));
         let peer = free_addresses(1)?[0];
-        let this = &*self;
-        let entries = [leaving.caller, this.entry(0), this.entry(1)];
+        let check = &*self;
+        let addresses = [
+            leaving.caller,
+            check.daemon_address(0),
+            check.daemon_address(1),
+        ];
         let load = async {
-            let lines = entries.iter().flat_map(|e| (0..4).map(move |i| (*e, i)));
-            let lines =
-                lines.map(|(e, i)| this.load_line(e, i, Rc::clone(&streams), Rc::clone(&stop)));
-            join_all(lines)
+            let tasks = addresses.iter().flat_map(|e| (0..4).map(move |i| (*e, i)));
+            let tasks =
+                tasks.map(|(e, i)| check.run_load(e, i, Rc::clone(&streams), Rc::clone(&stop)));
+            join_all(tasks)
                 .await
                 .into_iter()
                 .collect::<Result<Vec<()>>>()
@@ -351,59 +395,71 @@
         let (result, ()) = join(load, change).await;
         result?;
         leaving.stop();
-        self.system.add(peer, 0)?;
-        let fresh = self
-            .system
+        self.cluster.start_daemon(peer, 0)?;
+        let new_daemon = self
+            .cluster
             .daemons
             .last()
             .map(|d| d.caller)
-            .ok_or_else(|| eyre!("no daemon"))?;
-        until("ready", || client::is_ready(&self.client, fresh)).await?;
-        self.ask_fresh(fresh).await?;
+            .ok_or_else(|| eyre!("no daemon is running"))?;
+        wait_until("the daemon is ready", || {
+            client::is_ready(&self.client, new_daemon)
+        })
+        .await?;
+        self.wait_serving(new_daemon).await?;
         Ok(format!(
             "{} streams of 60 tokens, none cut off",
             streams.get()
         ))
     }
 
-    async fn ask_fresh(&self, fresh: SocketAddr) -> Result<()> {
+    async fn wait_serving(&self, new_daemon: SocketAddr) -> Result<()> {
         let caller = &self.callers[0];
         let name = &caller.models[0];
-        until("the new daemon answers", || async move {
-            self.ask(fresh, caller, name, "new here", 4).await.is_ok()
+        wait_until("the new daemon answers", || async move {
+            self.check_completion(new_daemon, caller, name, "new here", 4)
+                .await
+                .is_ok()
         })
         .await
     }
 
-    /// Streams one after the other. A daemon that stops refuses new ones, which then
-    /// stays with the balancer; whatever it has begun it ends.
-    async fn load_line(
+    /// Streams completions in sequence until `stop` is set. A stopping daemon refuses new
+    /// streams, which a load balancer would send to another daemon, so a refusal ends the
+    /// sequence without an error. Streams that have started must complete.
+    async fn run_load(
         &self,
-        entry: SocketAddr,
-        line: usize,
+        address: SocketAddr,
+        task: usize,
         count: Rc<Cell<u32>>,
         stop: Rc<Cell<bool>>,
     ) -> Result<()> {
         let caller = &self.callers[0];
-        let name = &caller.models[line % caller.models.len()];
+        let name = &caller.models[task % caller.models.len()];
         let mut round = 0;
         while !stop.get() {
             round += 1;
-            let prompt = format!("line {line} round {round}");
-            match self.ask(entry, caller, name, &prompt, 60).await {
+            let prompt = format!("line {task} round {round}");
+            match self
+                .check_completion(address, caller, name, &prompt, 60)
+                .await
+            {
                 Ok(()) => count.set(count.get() + 1),
-                Err(e) if is_clean_refusal(&e) => return Ok(()),
+                Err(e) if is_stop_refusal(&e) => return Ok(()),
                 Err(e) => return Err(e),
             }
         }
         Ok(())
     }
 
-    async fn memory(&self) -> Result<String> {
+    async fn check_memory(&self) -> Result<String> {
         let mut refused = 0;
-        for address in &self.system.standins.engines {
+        for address in &self.cluster.standins.engines {
             let url = format!("http://{address}/v1/refused");
-            refused += client::get(&self.client, &url).await?.as_u64().unwrap_or(0);
+            refused += client::get_json(&self.client, &url)
+                .await?
+                .as_u64()
+                .unwrap_or(0);
         }
         ensure!(
             refused == 0,
@@ -411,13 +467,14 @@
         );
         Ok(format!(
             "{} engines refused no order",
-            self.system.standins.engines.len()
+            self.cluster.standins.engines.len()
         ))
     }
 }
 
-/// Whether a daemon refused as not run because it stops, or no longer listens.
-fn is_clean_refusal(error: &eyre::Report) -> bool {
+/// Returns whether the request was refused without being run because the daemon is stopping or
+/// no longer listens.
+fn is_stop_refusal(error: &eyre::Report) -> bool {
     let text = error.to_string();
     text.contains("\"leaving\"") || text.contains("onnect")
 }
--- a/crates/demo/src/client.rs
+++ b/crates/demo/src/client.rs
@@ -1,6 +1,6 @@
-//! A caller and an operator.
+//! HTTP requests to the daemons, as a caller and as an operator.
 
-use crate::system::OPERATOR;
+use crate::cluster::OPERATOR_TOKEN;
 use awc::Client;
 use eventsource_stream::Eventsource;
 use eyre::{bail, eyre, Result};
@@ -11,16 +11,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const TIMEOUT: Duration = Duration::from_secs(30);
-const LIMIT: usize = 16 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A client with a timeout.
+/// Creates an HTTP client with a timeout for each request.
 pub fn new_client() -> Client {
-    Client::builder().timeout(TIMEOUT).finish()
+    Client::builder().timeout(REQUEST_TIMEOUT).finish()
 }
 
-/// Makes a change and waits until it is in force on all daemons.
-pub async fn change(
+/// Submits a configuration change and waits until it is in force on all daemons.
+pub async fn apply_change(
     client: &Client,
     admin: SocketAddr,
     id: &str,
@@ -29,44 +29,44 @@
 ) -> Result<Value> {
     let body = json!({"id": id, "base": base, "op": op, "wait_ms": 10_000});
     let request = client.post(format!("http://{admin}/admin/changes"));
-    let sent = request.bearer_auth(OPERATOR).send_json(&body).await;
-    let mut answer = sent.map_err(|e| eyre!("{e}"))?;
-    let ok = answer.status().is_success();
-    let body: Value = answer.json().limit(LIMIT).await?;
+    let result = request.bearer_auth(OPERATOR_TOKEN).send_json(&body).await;
+    let mut response = result.map_err(|e| eyre!("{e}"))?;
+    let ok = response.status().is_success();
+    let body: Value = response.json().limit(MAX_BODY_BYTES).await?;
     if ok {
         return Ok(body);
     }
     bail!("{body}")
 }
 
-/// Gives an organisation a token.
+/// Adds a token to an organisation.
 pub async fn add_token(client: &Client, admin: SocketAddr, org: &Org, token: &str) -> Result<()> {
     let op = Op::AddToken {
         org: org.clone(),
         token: TokenHash::from_token(token),
     };
-    change(client, admin, &format!("token-{org}"), None, &op).await?;
+    apply_change(client, admin, &format!("token-{org}"), None, &op).await?;
     Ok(())
 }
 
-/// Streams a completion and returns its text, if the answer is whole.
-pub async fn complete(
+/// Streams a completion and returns its text. A stream without `[DONE]` is an error.
+pub async fn stream_completion(
     client: &Client,
-    caller: SocketAddr,
+    address: SocketAddr,
     token: &str,
     model: &str,
     prompt: &str,
     tokens: u32,
 ) -> Result<String> {
     let body = json!({"model": model, "prompt": prompt, "max_tokens": tokens, "stream": true});
-    let request = client.post(format!("http://{caller}/v1/completions"));
-    let sent = request.bearer_auth(token).send_json(&body).await;
-    let mut answer = sent.map_err(|e| eyre!("{e}"))?;
-    if !answer.status().is_success() {
-        let body: Value = answer.json().limit(LIMIT).await?;
+    let request = client.post(format!("http://{address}/v1/completions"));
+    let result = request.bearer_auth(token).send_json(&body).await;
+    let mut response = result.map_err(|e| eyre!("{e}"))?;
+    if !response.status().is_success() {
+        let body: Value = response.json().limit(MAX_BODY_BYTES).await?;
         bail!("{body}");
     }
-    let mut events = answer.eventsource();
+    let mut events = response.eventsource();
     let mut text = String::new();
     while let Some(event) = events.next().await {
         let data = event.map_err(|e| eyre!("{e}"))?.data;
@@ -82,52 +82,52 @@
     bail!("the stream ended without [DONE]")
 }
 
-/// A plain service's answer with the headers that matter.
-pub struct Called {
+/// The response to a call to a plain service.
+pub struct ServiceResponse {
     /// The HTTP status.
     pub status: u16,
-    /// Whether it ran.
+    /// The `x-shaleline-outcome` header, which says whether the call ran; empty if absent.
     pub outcome: String,
-    /// The body.
+    /// The body, parsed as JSON.
     pub body: Value,
 }
 
-/// Makes a keyed call to a plain service.
-pub async fn call(
+/// Calls a plain service with an idempotency key.
+pub async fn call_service(
     client: &Client,
-    caller: SocketAddr,
+    address: SocketAddr,
     token: &str,
     service: &str,
     key: &str,
-) -> Result<Called> {
-    let url = format!("http://{caller}/v1/services/{service}/confirm");
+) -> Result<ServiceResponse> {
+    let url = format!("http://{address}/v1/services/{service}/confirm");
     let request = client
         .post(url)
         .bearer_auth(token)
         .insert_header(("idempotency-key", key));
-    let sent = request.send_body("cardiology, 9 o'clock").await;
-    let mut answer = sent.map_err(|e| eyre!("{e}"))?;
-    let outcome = answer.headers().get("x-shaleline-outcome");
+    let result = request.send_body("cardiology, 9 o'clock").await;
+    let mut response = result.map_err(|e| eyre!("{e}"))?;
+    let outcome = response.headers().get("x-shaleline-outcome");
     let outcome = outcome
         .and_then(|o| o.to_str().ok())
         .unwrap_or_default()
         .to_owned();
-    Ok(Called {
-        status: answer.status().as_u16(),
+    Ok(ServiceResponse {
+        status: response.status().as_u16(),
         outcome,
-        body: answer.json().limit(LIMIT).await?,
+        body: response.json().limit(MAX_BODY_BYTES).await?,
     })
 }
 
-/// Reads a page of a server as JSON.
-pub async fn get(client: &Client, url: &str) -> Result<Value> {
-    let sent = client.get(url).bearer_auth(OPERATOR).send().await;
-    let mut answer = sent.map_err(|e| eyre!("{e}"))?;
-    Ok(answer.json().limit(LIMIT).await?)
+/// Sends a GET request with the operator token and parses the response as JSON.
+pub async fn get_json(client: &Client, url: &str) -> Result<Value> {
+    let result = client.get(url).bearer_auth(OPERATOR_TOKEN).send().await;
+    let mut response = result.map_err(|e| eyre!("{e}"))?;
+    Ok(response.json().limit(MAX_BODY_BYTES).await?)
 }
 
-/// Whether a daemon says that it is ready.
-pub async fn is_ready(client: &Client, caller: SocketAddr) -> bool {
-    let sent = client.get(format!("http://{caller}/readyz")).send().await;
-    sent.is_ok_and(|a| a.status().is_success())
+/// Returns whether the daemon reports that it is ready.
+pub async fn is_ready(client: &Client, address: SocketAddr) -> bool {
+    let result = client.get(format!("http://{address}/readyz")).send().await;
+    result.is_ok_and(|r| r.status().is_success())
 }
--- a/crates/demo/src/system.rs
+++ b/crates/demo/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Three daemons and the stand-ins in this process.
+//! A cluster of three daemons and the stand-ins, all in this process.
 
 use eyre::{eyre, Result};
 use shaleline_daemon::{Daemon, Settings};
@@ -7,52 +7,53 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The operator's token of the demo; it guards nothing but this process's loopback.
-pub const OPERATOR: &str = "demo-operator-token";
-const SECRET: &str = "demo-peer-secret-only";
+/// The operator token of the demo. It protects only the loopback ports of this process.
+pub const OPERATOR_TOKEN: &str = "demo-operator-token";
+const PEER_SECRET: &str = "demo-peer-secret-only";
 
-/// How many daemons the demo runs.
-pub const DAEMONS: usize = 3;
+/// The number of daemons that the demo runs.
+pub const DAEMON_COUNT: usize = 3;
 
-/// The demo's processes.
-pub struct System {
-    /// The stand-ins.
+/// The daemons and stand-ins of the demo.
+pub struct Cluster {
+    /// The stand-ins of the engines, services and platform.
     pub standins: Standins,
-    /// The daemons.
+    /// The daemons that are running, in the order in which they were started.
     pub daemons: Vec<Daemon>,
     seeds: String,
-    started: usize,
+    started_count: usize,
 }
 
-impl System {
-    /// Brings all up. `port` is the first of the ports to use; 0 for any.
+impl Cluster {
+    /// Starts the stand-ins and daemons. `port` is the first port to use; with 0, the operating
+    /// system assigns the ports.
     pub fn start(sample: Sample, port: u16) -> Result<Self> {
         let mut settings = sample.settings();
         settings.port = port;
         let standins = Standins::start(settings)?;
-        let peers = free_addresses(DAEMONS)?;
+        let peers = free_addresses(DAEMON_COUNT)?;
         let seeds: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
-        let mut system = Self {
+        let mut cluster = Self {
             standins,
             daemons: Vec::new(),
             seeds: seeds.join(","),
-            started: 0,
+            started_count: 0,
         };
         for (i, peer) in peers.iter().enumerate() {
-            let base = if port == 0 {
+            let daemon_port = if port == 0 {
                 0
             } else {
                 port + 100 + 10 * i as u16
             };
-            system.add(*peer, base)?;
+            cluster.start_daemon(*peer, daemon_port)?;
         }
-        Ok(system)
+        Ok(cluster)
     }
 
-    /// Starts one more daemon.
-    pub fn add(&mut self, peer: SocketAddr, port: u16) -> Result<()> {
-        self.started += 1;
-        let number = self.started;
+    /// Starts another daemon. `peer` is its address for peers and `port` its port for callers.
+    pub fn start_daemon(&mut self, peer: SocketAddr, port: u16) -> Result<()> {
+        self.started_count += 1;
+        let number = self.started_count;
         let admin = if port == 0 { 0 } else { port + 1 };
         let pairs = [
             ("instance", format!("entry-{number}")),
@@ -62,21 +63,21 @@
             ("peer-listen", peer.to_string()),
             ("platform", self.standins.platform.to_string()),
             ("seeds", self.seeds.clone()),
-            ("peer-secret", SECRET.to_owned()),
+            ("peer-secret", PEER_SECRET.to_owned()),
             (
                 "admin-hash",
-                TokenHash::from_token(OPERATOR).as_hex().to_owned(),
+                TokenHash::from_token(OPERATOR_TOKEN).as_hex().to_owned(),
             ),
             ("store-rate", "20".to_owned()),
         ];
-        let flag = |(name, value): &(&str, String)| [format!("--{name}"), value.clone()];
-        let args: Vec<String> = pairs.iter().flat_map(flag).collect();
+        let to_flag = |(name, value): &(&str, String)| [format!("--{name}"), value.clone()];
+        let args: Vec<String> = pairs.iter().flat_map(to_flag).collect();
         let settings = Settings::from_args(&args, &BTreeMap::new()).map_err(|e| eyre!("{e}"))?;
         self.daemons.push(Daemon::start(settings)?);
         Ok(())
     }
 
-    /// Stops all, the daemons first.
+    /// Stops the daemons, then the stand-ins.
     pub fn stop(self) {
         for daemon in &self.daemons {
             daemon.begin_stop();
--- a/crates/demo/src/deployment.rs
+++ b/crates/demo/src/deployment.rs
@@ -1,19 +1,19 @@
-//! The files of `examples/` for each deployment.
+//! The configuration files in `examples/` of each sample deployment.
 
 use eyre::{eyre, Result};
 use shaleline_config::{Fleet, Op, Organisation, Template};
 use shaleline_standin::Sample;
 
-/// A deployment's files, by their names.
+/// The configuration files of a sample deployment.
 pub struct Deployment {
-    /// The folder below the repository's root.
+    /// The folder of the files, relative to the root of the repository.
     pub folder: &'static str,
     fleet: &'static str,
-    /// The templates' names and texts.
+    /// The name and TOML text of each template.
     templates: &'static [(&'static str, &'static str)],
-    /// The organisations' names and texts.
+    /// The name and TOML text of each organisation.
     orgs: &'static [(&'static str, &'static str)],
-    /// The plain service of this deployment.
+    /// The name of the plain service that the demo calls.
     pub service: &'static str,
 }
 
@@ -64,20 +64,20 @@
 };
 
 impl Deployment {
-    /// The deployment for a sample.
-    pub fn of(sample: Sample) -> &'static Self {
+    /// Returns the deployment of a sample.
+    pub fn for_sample(sample: Sample) -> &'static Self {
         match sample {
             Sample::Agencia => &AGENCIA,
             Sample::Mraznik | Sample::Small => &MRAZNIK,
         }
     }
 
-    /// The fleet.
+    /// Parses the fleet.
     pub fn fleet(&self) -> Result<Fleet> {
         Ok(toml::from_str(self.fleet)?)
     }
 
-    /// The changes that set the deployment up, in order.
+    /// Returns the changes that configure the deployment, in the order in which to apply them.
     pub fn ops(&self) -> Result<Vec<Op>> {
         let mut ops = vec![Op::PutFleet(self.fleet()?)];
         for (_, text) in self.templates {
@@ -89,7 +89,7 @@
         Ok(ops)
     }
 
-    /// The organisations.
+    /// Parses the organisations.
     pub fn orgs(&self) -> Result<Vec<Organisation>> {
         let parse =
             |(name, text): &(&str, &str)| toml::from_str(text).map_err(|e| eyre!("{name}: {e}"));
--- a/crates/demo/src/guide.rs
+++ b/crates/demo/src/guide.rs
@@ -1,49 +1,49 @@
-//! What a newcomer types next.
+//! Starts the demo and prints commands for a new user to try.
 
 use crate::client::{self, is_ready};
+use crate::cluster::{Cluster, OPERATOR_TOKEN};
 use crate::deployment::Deployment;
-use crate::system::{System, OPERATOR};
 use eyre::{eyre, Result};
 use shaleline_standin::Sample;
 use std::time::Duration;
 
 const FIRST_PORT: u16 = 7_500;
 
-/// Brings the demo up, sets the deployment up and prints the commands.
+/// Starts the demo, applies the configuration of the deployment and prints the commands.
 pub fn run(sample: Sample) -> Result<()> {
-    let system = System::start(sample, FIRST_PORT)?;
-    let deployment = Deployment::of(sample);
+    let cluster = Cluster::start(sample, FIRST_PORT)?;
+    let deployment = Deployment::for_sample(sample);
     actix_rt::System::new().block_on(async {
         let client = client::new_client();
-        for daemon in &system.daemons {
+        for daemon in &cluster.daemons {
             while !is_ready(&client, daemon.caller).await {
                 actix_rt::time::sleep(Duration::from_millis(100)).await;
             }
         }
-        let admin = system.daemons[0].admin;
+        let admin = cluster.daemons[0].admin;
         for (i, op) in deployment.ops()?.iter().enumerate() {
-            client::change(&client, admin, &format!("guide-{i}"), None, op).await?;
+            client::apply_change(&client, admin, &format!("guide-{i}"), None, op).await?;
         }
         Ok::<(), eyre::Report>(())
     })?;
-    print(&system, deployment)?;
-    system.standins.join();
+    print_commands(&cluster, deployment)?;
+    cluster.standins.join();
     Ok(())
 }
 
-fn print(system: &System, deployment: &Deployment) -> Result<()> {
+fn print_commands(cluster: &Cluster, deployment: &Deployment) -> Result<()> {
     let org = deployment
         .orgs()?
         .into_iter()
         .next()
-        .ok_or_else(|| eyre!("no organisation"))?;
+        .ok_or_else(|| eyre!("the sample deployment has no organisations"))?;
     let model = org
         .values
         .get("models")
-        .and_then(first_name)
+        .and_then(first_listed)
         .unwrap_or_default();
-    let caller = system.daemons[0].caller;
-    let admin = system.daemons[1].admin;
+    let caller = cluster.daemons[0].caller;
+    let admin = cluster.daemons[1].admin;
     let tool = "cargo run -q --release --bin shaleline --";
     let service = deployment.service;
     println!(
@@ -51,7 +51,7 @@
         deployment.folder
     );
     println!("in another shell, in this folder:\n");
-    println!("  export SHALELINE_ADMIN={admin} SHALELINE_TOKEN={OPERATOR}");
+    println!("  export SHALELINE_ADMIN={admin} SHALELINE_TOKEN={OPERATOR_TOKEN}");
     println!("  {tool} members");
     println!("  {tool} show");
     println!("  {tool} org put {}/{}.toml", deployment.folder, org.name);
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-fn first_name(value: &shaleline_config::Value) -> Option<String> {
+fn first_listed(value: &shaleline_config::Value) -> Option<String> {
     match value {
         shaleline_config::Value::Names(names) => names.first().cloned(),
         shaleline_config::Value::Integer(_) => None,
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,14 +1,14 @@
-//! Daemons and stand-ins in one process, for a newcomer.
+//! Runs daemons and stand-ins in one process, as a demonstration for new users.
 //!
-//! Without flags it brings up one of the deployments on loopback and prints the commands
-//! to type next. With `--check` it goes through the main steps by itself and exits with
-//! success only if all hold.
+//! Without flags it starts one of the sample deployments on loopback and prints commands to
+//! try. With `--check` it runs the main steps itself and exits with success only if all of
+//! them pass.
 
 mod check;
 mod client;
+mod cluster;
 mod deployment;
 mod guide;
-mod system;
 
 use eyre::{eyre, Result};
 use getopts::Options;
@@ -47,7 +47,8 @@
         .opt_str("sample")
         .unwrap_or_else(|| "mraznik".to_owned());
     let sample = Sample::from_name(&name).filter(|s| *s != Sample::Small);
-    let sample = sample.ok_or_else(|| eyre!("no sample {name:?}"))?;
+    let sample =
+        sample.ok_or_else(|| eyre!("unknown sample {name:?}; expected mraznik or agencia"))?;
     let level = matches
         .opt_str("log-level")
         .unwrap_or_else(|| "off".to_owned());
