--- a/crates/standin/src/engine_state.rs
+++ b/crates/standin/src/engine_state.rs
@@ -27,9 +27,9 @@
 /// The specification of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineSpec {
-    /// Its name.
+    /// The name of the engine.
     pub name: Upstream,
-    /// Its data centre.
+    /// The data centre of the engine.
     pub centre: DataCentre,
     /// The memory of its accelerator.
     pub memory: Megabytes,
@@ -39,7 +39,7 @@
     pub slots: usize,
     /// The capacity of its prefix cache, in blocks.
     pub blocks: usize,
-    /// How fast it is.
+    /// The speed of the engine.
     pub pace: Pace,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Its specification.
+    /// Returns the specification of the engine.
     #[must_use]
     pub fn spec(&self) -> &EngineSpec {
         &self.spec
--- a/crates/standin/src/service_server.rs
+++ b/crates/standin/src/service_server.rs
@@ -12,11 +12,11 @@
 /// The specification of a replica of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// The name of the replica.
     pub name: Upstream,
-    /// The service.
+    /// The service that the replica belongs to.
     pub service: Service,
-    /// Its data centre.
+    /// The data centre of the replica.
     pub centre: DataCentre,
     /// The number of calls that it accepts concurrently.
     pub slots: usize,
