--- a/scripts/days.py
+++ b/scripts/days.py
@@ -25,21 +25,21 @@
 
 
 def day_names(site):
-    """The names of a site's days of trouble and of high load."""
+    """Returns the names of the days in the `trouble` and `scale` slots of a site file."""
     text = open(site, encoding="utf-8").read()
     days = re.findall(r'\[\[day\]\]\s*name = "([^"]+)"\s*slot = "([^"]+)"', text)
     return [name for name, slot in days if slot in ("trouble", "scale")]
 
 
 def missed(figures):
-    """What a day's figures or a hunted day miss of the gate: broken rules, faults, too little served."""
+    """Returns the failed criteria of a day: broken rules, a fault, and too few served requests."""
     rules = sorted(figures.get("breaks") or figures.get("rules") or [])
     fault = [figures["fault"]] if figures.get("fault") else []
     return rules + fault + [f"SHORT: {line}" for line in figures.get("short") or []]
 
 
 def play(bench, site, day, seed, options):
-    """Plays one day and returns its figures."""
+    """Runs one day on the bench and returns its key and its figures."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [bench, "run", site, day, "--seed", str(seed), "--report", report.name]
         command += ["--why", options.why] if options.why else []
@@ -60,14 +60,14 @@
 
 
 def mean_of(values):
-    """The mean and its standard error."""
+    """Returns the mean and its standard error."""
     mean = sum(values) / len(values)
     spread = sum((v - mean) ** 2 for v in values) / max(len(values) - 1, 1)
     return mean, math.sqrt(spread / len(values))
 
 
 def show(rows, before):
-    """Prints the table of one site."""
+    """Prints the table of one site. Days that are also in `before` are compared in pairs."""
     paired = [key for key in rows if key in before]
     keys = [k for k in next(iter(rows.values())) if k != "broken"]
     for key in keys:
@@ -89,7 +89,7 @@
 
 
 def main():
-    """Reads the command line and plays."""
+    """Parses the command line, runs the days of each site and prints the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("site", nargs="+")
     parser.add_argument("--seeds", default="11,12")
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Kills, freezes and outages of real processes: three daemons before the stand-ins. Exits 0
-# only if all holds. Prints how long a takeover took.
+# Tests three daemons and the stand-ins, as separate processes, under SIGKILL, SIGSTOP and
+# outages. Prints the duration of a takeover. Exits with 0 only if all steps pass.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --release --quiet --bins
--- a/scripts/findings.py
+++ b/scripts/findings.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Wants each missed gate in the journal named in docs/FINDINGS.md.
+"""Checks that docs/FINDINGS.md names each journal entry with a failed day.
 
 Usage: scripts/findings.py [--list]
 
-A day that broke a rule, ended with a fault or served too little is a finding, whether or not anybody
-looked at its report. Prints the entries that are not named, by the eight characters that end their
-names, and exits with 1 where there are any; --list prints all in the form of the page.
+A day that broke a rule, ended with a fault or served too few requests is a finding, even if its report
+has not been reviewed. Entries are named by the last eight characters of their names. The script
+prints the entries that the page lacks and exits with 1 if there are any; --list prints all entries in
+the format of the page.
 """
 import json
 import pathlib
@@ -17,7 +18,7 @@
 
 
 def entries():
-    """The journal entries with a missed gate: name, site, and what was missed on which days."""
+    """Yields the name, the site and the failed days of each journal entry that has failed days."""
     for path in sorted((ROOT / "journal").glob("*.json")):
         entry = json.loads(path.read_text(encoding="utf-8"))
         days = [day for day in entry.get("days") or [] if missed(day)]
@@ -26,7 +27,7 @@
 
 
 def main():
-    """Compares the journal with the page."""
+    """Compares the journal with the page and returns the exit code."""
     page = (ROOT / "docs" / "FINDINGS.md").read_text(encoding="utf-8")
     by_site = {}
     for name, site, _ in entries():
--- a/scripts/hunts.py
+++ b/scripts/hunts.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Counts the days of hunts that missed the gate: by broken rules, by fault, by too little served.
+"""Counts the failed days of hunts by cause: broken rules, a fault, or too few served requests.
 
 Usage: scripts/hunts.py JOURNAL-ENTRY...
 
-The headline of a hunt counts broken rules alone. A day whose list `short` is not empty has
-missed the gate all the same.
+The summary of a hunt counts broken rules only. A day with a non-empty `short` list has failed
+too.
 """
 import json
 import sys
@@ -13,7 +13,7 @@
 
 
 def show(entry):
-    """Prints one hunt: how many days missed what, and each of them with its seed."""
+    """Prints the number of failed days of a hunt by cause, and each failed day with its seed."""
     days = entry.get("days") or []
     if not days:
         return
@@ -29,7 +29,7 @@
 
 
 def main():
-    """Reads the entries and shows the hunts among them."""
+    """Reads the journal entries and prints those that are hunts."""
     for path in sys.argv[1:]:
         with open(path, encoding="utf-8") as file:
             entry = json.load(file)
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,4 +1,5 @@
-# Shared by the scripts: steps, failures, waiting. Expects $out, a folder for logs.
+# Functions shared by the scripts, which report steps and failures and wait for conditions.
+# $out must name the folder of the log files.
 passed=0
 step() { passed=$((passed + 1)); echo "ok $passed - $1"; }
 fail() { echo "not ok - $1"; tail -n 15 "$out"/*.log || true; echo "$passed passed, 1 failed"; exit 1; }
--- a/scripts/path.sh
+++ b/scripts/path.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# One request from one end to the other, as separate processes over TCP: stand-ins, two
-# daemons, the command-line tool and an ordinary HTTP client. Exits 0 only if all holds.
+# End-to-end test with separate processes over TCP: stand-ins, two daemons, the command-line
+# tool and curl as the HTTP client. Exits with 0 only if all steps pass.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --release --quiet --bins
