--- a/crates/demo/src/check.rs
+++ b/crates/demo/src/check.rs
@@ -184,15 +184,15 @@
         let mut last = 0;
         for (i, op) in ops.iter().enumerate() {
             let id = format!("setup-{i}");
-            let answer = client::apply_change(&self.client, admin, &id, None, op).await?;
+            let response = client::apply_change(&self.client, admin, &id, None, op).await?;
             ensure!(
-                answer["in_force_on_all"] == true,
-                "the change is not in force on all daemons: {answer}"
+                response["in_force_on_all"] == true,
+                "the change is not in force on all daemons: {response}"
             );
-            last = answer["accepted_at"].as_u64().unwrap_or(0);
-            let again = client::apply_change(&self.client, admin, &id, None, op).await?;
+            last = response["accepted_at"].as_u64().unwrap_or(0);
+            let repeated = client::apply_change(&self.client, admin, &id, None, op).await?;
             ensure!(
-                again["accepted_at"] == answer["accepted_at"],
+                repeated["accepted_at"] == response["accepted_at"],
                 "a repeated change was accepted at another offset"
             );
         }
@@ -330,13 +330,13 @@
         let (one, two) = (one?, two?);
         ensure!(
             one.status == 200 && two.status == 200,
-            "{} and {}",
+            "both calls must succeed: {} and {}",
             one.body,
             two.body
         );
         ensure!(
             one.outcome == "run" && two.outcome == "run",
-            "{} {}",
+            "both outcomes must be \"run\": {} and {}",
             one.outcome,
             two.outcome
         );
@@ -354,7 +354,7 @@
         let again = self.call_confirm(last, "booking-1").await?;
         ensure!(
             again.status == 200 && again.outcome == "run",
-            "{}",
+            "the replayed call failed: {}",
             again.body
         );
         ensure!(
