--- a/crates/fleet/src/best_move.rs
+++ b/crates/fleet/src/best_move.rs
@@ -7,8 +7,8 @@
 
 /// The minimum value of the last load that the weight store allows, in seconds of all requests.
 /// Loads have no price while there are enough; the fewer are left, the more they are reserved for
-/// models with many callers that may wait soon. With 0.3 s, 0.77 of the value of all requests is
-/// earned while engines are replaced, with 1 s 0.75, over ten simulated days.
+/// models with many callers that may wait soon. With a larger value, less of the value of all
+/// requests is earned while engines are replaced.
 const SCARCITY_S: f64 = 0.3;
 
 /// The target number of engines with a copy of a model: two, as one of them may crash.
--- a/crates/fleet/src/churn.rs
+++ b/crates/fleet/src/churn.rs
@@ -13,9 +13,8 @@
 /// about this long.
 const WINDOW_MS: u64 = 10_000;
 
-/// The minimum time over which the rate is measured. With 3 s, 0.94 of the callers of the busiest
-/// model are served while twelve engines are replaced, with 5 s 0.92, by a test in
-/// `tests/replaced`.
+/// The minimum time over which the rate is computed. With a longer time, fewer callers of the
+/// busiest model are served while engines are replaced.
 const MIN_SPAN_MS: u64 = 3_000;
 
 /// No engine is assumed to leave with certainty.
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -4,8 +4,8 @@
 use shaleline_types::{Adapter, Millis, Model};
 use std::collections::BTreeMap;
 
-/// The averaging time, short since demand moves to other models within seconds. With 1.5 s, 697 of
-/// 1,000 chats on overloaded days are in time, with 2.5 s 686, over 30 simulated days.
+/// The averaging time in milliseconds, short since demand moves to other models within seconds.
+/// With a longer time, fewer chats are in time on overloaded days.
 const AVERAGE_MS: f64 = 1_500.0;
 
 /// A rate below this, in milliseconds of work a second, is not reported.
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -11,8 +11,8 @@
 /// The work that an engine does in a second, in milliseconds.
 pub(crate) const CAPACITY: f64 = 1_000.0;
 
-/// The share of requests that are late or refused at an engine at its limit. With 0.4, 624 of 1,000
-/// chats on overloaded days are in time, with 0.6 616, over 30 simulated days.
+/// The share of requests that are late or refused at an engine at its limit. With a larger share,
+/// fewer chats are in time on overloaded days.
 const LOST_AT_LIMIT: f64 = 0.4;
 
 /// A model without requests counts as this much work, so that it is placed at all.
--- a/crates/fleet/src/handover.rs
+++ b/crates/fleet/src/handover.rs
@@ -4,8 +4,8 @@
 //! must stay under its rate limit whichever planner begins them. A successor that knows when each
 //! engine had its last order, and when loads began, waits for those engines only and may use the
 //! rest of the window at once. Without a handover no orders are sent for 3.4 s after a planned
-//! stop, and no load from the store begins for 5 s more; with it 611 of 1,000 chats on overloaded
-//! days are in time, without it 590, over 30 simulated days.
+//! stop, and no load from the store begins for 5 s more, so fewer chats are in time on overloaded
+//! days.
 
 use crate::LoadWindow;
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/moves.rs
+++ b/crates/fleet/src/moves.rs
@@ -5,9 +5,8 @@
 //! the evicted model loses its replica at once. So a copy on an engine's disk, a second away, is
 //! preferred to the weight store; models with much work spread over engines of their own; and
 //! models without requests are evicted while their copies can be loaded again within a second.
-//! Compared with a plan that weighs milliseconds of prompts step by step, 590 instead of 536 of
-//! 1,000 chats on overloaded days are in time, over 30 simulated days. `docs/DECISIONS.md` lists
-//! what was tried.
+//! More chats are in time on overloaded days than with a plan that weighs milliseconds of prompts
+//! step by step. `docs/DECISIONS.md` lists the alternatives.
 
 use crate::best_move::Move;
 use crate::draft::Draft;
--- a/crates/fleet/src/valuation.rs
+++ b/crates/fleet/src/valuation.rs
@@ -25,21 +25,19 @@
 
 /// The callers a second that an idle model is assumed to have. It is in the same unit as the other
 /// terms: a figure larger than all demand would let idle models outweigh those that callers wait
-/// for. While engines are replaced, 0.84 of the attempts for busy models are served, and 0.58 with
-/// such a figure, over five simulated days.
+/// for, and fewer attempts for busy models would be served while engines are replaced.
 const IDLE_LOSS: f64 = 0.25;
 
 /// The time for which a model without a replica is expected to stay so unless it is loaded, in
 /// seconds. It is longer than the horizon of demand: otherwise a load of nine seconds would have no
-/// value for a model with few callers. With 60 s such models go before busy ones: 0.40 instead of
-/// 0.43 of the value of all requests is earned while engines are replaced, over ten simulated days.
+/// value for a model with few callers. With a much longer time, such models go before busy ones,
+/// and less of the value of all requests is earned while engines are replaced.
 pub(crate) const ABSENT_HORIZON_S: f64 = 30.0;
 
 /// The weight of the squared number of unserved callers, added to the callers a second of a model
 /// without a replica. A few callers outweigh no busy model, but no model stays without a replica
-/// indefinitely: one with a caller every five seconds is loaded after 26 s where all memory is
-/// taken by models with two callers a second and more; without this term it never is, as a test
-/// shows.
+/// indefinitely. Without this term, a model with few callers is never loaded where all memory is
+/// taken by busier models.
 const UNMET_WEIGHT: f64 = 0.1;
 
 /// The time to unload an idle model, and one whose last streams must end first.
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -20,8 +20,8 @@
 const HELLO_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A daemon that has run for this long knows the hubs: daemons that start together do so within 300
-/// ms of each other, and all of them have sent it a hello by then. When daemons answered before
-/// they knew all others, most of 91 daemons took themselves for hubs.
+/// ms of each other, and all of them have sent it a hello by then. If daemons answered before
+/// they know all others, most of them would take themselves for hubs.
 pub(crate) const KNOWS_HUBS_AFTER_MS: u64 = 400;
 
 /// The time without an answer after which the daemon falls back on the members in the store: twice
--- a/crates/gateway/src/job.rs
+++ b/crates/gateway/src/job.rs
@@ -39,12 +39,12 @@
 const LOAD_WAIT_MS: u64 = 2_500;
 
 /// The fraction of the longest pause that waiting prompts may take: what other daemons sent in the
-/// last tenths of a second is not known yet. With 4/5, 642 of 1,000 chats on overloaded days are in
-/// time; with 1/2, 652, in 30 simulated days.
+/// last tenths of a second is not known yet. With a larger fraction, fewer chats are in time on
+/// overloaded days; see `docs/CAPACITY.md`, "Values of constants".
 const BACKLOG_PART: (u64, u64) = (1, 2);
 
-/// Added to the priority value of retries, so that first attempts are served before them. With it,
-/// 670 of 1,000 chats on overloaded days are in time; without it, 652, in 30 simulated days.
+/// Added to the priority value of retries, so that first attempts are served before them. Without
+/// it, fewer chats are in time on overloaded days.
 const RETRY_PRIORITY: u8 = 16;
 
 /// A caller that retries after a refusal does not retry again: its request waits for this fraction
@@ -55,7 +55,7 @@
 const MAX_RETRY_TARGETS: u64 = 2;
 
 /// A request is not sent if its first byte is expected later than this number of targets: callers
-/// of streams leave after four. With shorter queues, refused requests fell behind less urgent work;
+/// of streams leave after four. With shorter queues, refused requests fall behind less urgent work;
 /// `docs/MEASUREMENTS.md` has the figures.
 const MAX_TARGETS: u64 = 2;
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -335,8 +335,7 @@
 
 /// Retry-after time when the engines that serve a model are overloaded. The overload lasts until
 /// streams of some seconds end or another engine has loaded the model, so a retry after 250 ms
-/// finds no more capacity: with one second, 55 instead of 65 in 1,000 refused chats were not served
-/// in the end, in 30 simulated days.
+/// finds no more capacity, and more of the refused chats are not served in the end.
 const OVERLOADED_RETRY: Millis = Millis(1_000);
 
 /// The retry-after time, by what the request lacks.
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -21,7 +21,7 @@
 
 /// If the store served another daemon within this time, entries did not lapse because of the store:
 /// an upstream's entry lapses after three of its intervals of about a second. With a hold in
-/// addition, removals exceeded the drain bound by 63 ms.
+/// addition, removals would exceed the drain bound.
 const PEER_SERVED_MS: u64 = 1_500;
 
 /// The time for which a removed upstream is remembered, so that an old entry that is read or
--- a/crates/gateway/src/selector.rs
+++ b/crates/gateway/src/selector.rs
@@ -23,9 +23,8 @@
     /// Returns the first hub that answers. Hubs share the models and services by rendezvous hashing
     /// of `key`.
     ///
-    /// If the first hub does not answer, the next one is used. When each daemon selected for itself
-    /// in that case, a request in eight copies crashed up to eleven upstreams while hubs were
-    /// killed; with a second hub it crashed up to five, with 30 daemons in simulated time.
+    /// If the first hub does not answer, the next one is used. If each daemon selected for itself
+    /// in that case, the copies of one request would crash more upstreams while hubs fail.
     pub(crate) fn of(
         key: &str,
         mut hubs: Vec<SocketAddr>,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -120,8 +120,7 @@
     pub config_wait: Millis,
     /// The time that a call to the store may take beyond its wait.
     pub store_timeout: Millis,
-    /// The cost of a prompt token before any was measured, in milliseconds: the data sheet gives
-    /// 19.1 tokens a millisecond.
+    /// The initial estimate of a prompt token's cost to an engine, in milliseconds.
     pub token_ms: f64,
     /// Whether this daemon may plan for the engines.
     pub plans: bool,
--- a/crates/route/src/crashes.rs
+++ b/crates/route/src/crashes.rs
@@ -6,7 +6,7 @@
 //! daemon; a successful answer clears the record.
 //!
 //! A whole batch of requests may be in flight at an upstream that crashes, and at most one of them
-//! caused it. The cause is the one that was present each time: an innocent request that is retried
+//! caused it. The cause is the one that was present each time: a harmless request that is retried
 //! succeeds sooner or later and is cleared. `docs/CRASHES.md` compares the alternatives.
 //!
 //! Daemons need no agreement: the sets in a note only grow, so notes may be lost, duplicated or
@@ -17,10 +17,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The number of crashes after which a request is not sent any more. Each crash costs the answers
-/// of a batch, loaded weights and seconds of an engine. With a limit of two, 1,625 of 12,000
-/// innocent requests with five attempts each were never answered while one upstream of twelve
-/// crashed every 300 ms; with three it was 557, and without the rule 315
-/// (`crates/gateway/tests/unit/crashes`).
+/// of a batch, loaded weights and seconds of an engine. With a lower limit, more harmless requests
+/// are never answered while an upstream keeps crashing; see `docs/CAPACITY.md`, "Values of
+/// constants".
 pub const MAX_CRASHES: usize = 3;
 
 /// The time for which a crash counts; after it the request may be tried at one more upstream. A
--- a/crates/route/src/isolation.rs
+++ b/crates/route/src/isolation.rs
@@ -1,7 +1,7 @@
 //! Restricts where requests with crashes may be sent.
 //!
 //! The case that matters: a request that crashes each upstream that runs it, sent in several copies
-//! at once, beside innocent requests that were in flight when an upstream crashed. Three rules
+//! at once, beside harmless requests that were in flight when an upstream crashed. Three rules
 //! bound the cost:
 //!
 //! * The upstreams that crashed during a request and those that run it now are at most
--- a/crates/route/src/settings.rs
+++ b/crates/route/src/settings.rs
@@ -11,8 +11,7 @@
     pub unseen_ms: f64,
     /// The fraction of a backlog limit ([`crate::RequestPolicy::backlog_limit`]) that this daemon's
     /// own prompts may take at an upstream. Where other daemons send as well and their load is
-    /// known 200 ms late, 0.1 served 686 of 1,000 chats in time on overloaded days, and 1 served
-    /// 670 (30 simulated days).
+    /// known 200 ms late, a large fraction makes more chats late on overloaded days.
     pub own_share: f64,
 }
 
