--- a/crates/fleet/src/adapters.rs
+++ b/crates/fleet/src/adapters.rs
@@ -58,7 +58,7 @@
 enum EvictionScope {
     /// Only those without requests.
     Idle,
-    /// Also those with requests, unless they are retained for callers that may retry.
+    /// Also those with requests, unless they are retained for callers that may come.
     Requested,
     /// All but those with a caller about to retry, and those that were loaded just now.
     Retained,
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -85,11 +85,11 @@
     since: Millis,
 }
 
-/// An order to make room is sent at most this much later, since the other daemons are informed
-/// first.
+/// An order to make room is sent at most this long after it was planned, since the other daemons
+/// are informed first.
 const DISPATCH_MS: u64 = 400;
 
-/// A reservation lapses if the room has not been made by then.
+/// A reservation lapses if the room has not been made within this time.
 const RESERVATION_MS: u64 = 6_000;
 
 impl Reservation {
--- a/crates/fleet/src/planner_lease.rs
+++ b/crates/fleet/src/planner_lease.rs
@@ -142,7 +142,8 @@
 /// have then been missed, as the age of each is sent with it.
 const GAP_THRESHOLD_MS: u64 = 1_100;
 
-/// A holder that fails within this time after its predecessor is taken to fail for the same reason.
+/// A holder that fails within this time after it succeeded a failed one is assumed to fail for the
+/// same reason.
 const FAILURE_SERIES_MS: u64 = 10_000;
 
 /// No more failures in a row are counted, as few callers wait longer.
--- a/crates/fleet/src/waits.rs
+++ b/crates/fleet/src/waits.rs
@@ -55,7 +55,7 @@
     pub(crate) unserved: BTreeMap<&'a Key, Wait>,
     /// Those with a caller about to retry, held or not.
     pub(crate) due: BTreeSet<(&'a Model, &'a Adapter)>,
-    /// Those that were loaded for a wait and whose next caller may still retry.
+    /// Those that were loaded for a wait and whose next caller may still come.
     pub(crate) retained: BTreeSet<(&'a Model, &'a Adapter)>,
 }
 
--- a/crates/fleet/src/warmup.rs
+++ b/crates/fleet/src/warmup.rs
@@ -84,7 +84,7 @@
         models.filter(single).collect()
     }
 
-    /// The model on the engine with the most replicas, if there are at least two.
+    /// Of the models on the engine, the one with the most replicas, if it has at least two.
     fn most_served(&self, engine: &'a Engine) -> Option<&'a Model> {
         let served = engine.serving().map(|(m, _)| {
             let number = self.snapshot.model_index.get(m);
--- a/crates/place/src/draft.rs
+++ b/crates/place/src/draft.rs
@@ -381,7 +381,8 @@
         (score > 0.0).then_some(score)
     }
 
-    /// Adds a replica in a second data centre where memory is free.
+    /// Adds a replica in a second data centre for each model that has replicas in only one, where
+    /// memory is free.
     pub(crate) fn spread_over_centres(&mut self) {
         let desired = self.plan.desired;
         for (base, size) in desired.bases() {
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -149,7 +149,7 @@
     NotSent,
     /// The upstream refused the request without running it.
     Refused,
-    /// The connection failed after the request was written.
+    /// The send failed after the request was written.
     Broken,
     /// The upstream crashed while it ran the request.
     UpstreamEnded(IncarnationTag),
