--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -19,7 +19,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The time for the other daemons to learn that a model is about to be dropped, and for requests
-/// already waiting at the engine to start: later ones are refused until the model is gone.
+/// already waiting at the engine to start: those that have not started by then are refused until
+/// the model is gone.
 const RETIRE_DELAY: Duration = Duration::from_millis(120);
 
 /// The delay before the first check for an adapter: it is loaded within some milliseconds, and what
@@ -123,7 +124,7 @@
     gw.with_fleet(&order.engine, |f| f.record_sent(order, gw.now()));
 }
 
-/// Announces what an engine reported to hold.
+/// Announces what an engine was seen to hold.
 pub(crate) fn announce_held(gw: &Gateway, engine: &Upstream, held: Held) {
     let changed = gw.announced.borrow_mut().update(engine, &held);
     gw.broadcast(&PlannerUpdate::Held {
--- a/crates/gateway/src/orgs.rs
+++ b/crates/gateway/src/orgs.rs
@@ -70,8 +70,9 @@
 impl Orgs {
     /// Builds the list from organisations, each with the hashes of its keys.
     ///
-    /// # Errors If one is listed twice, or two hold the same key, so that a request's organisation
-    /// is ambiguous.
+    /// # Errors
+    /// If one is listed twice, or two hold the same key, so that a request's organisation is
+    /// ambiguous.
     pub fn from_rules(
         rules: impl IntoIterator<Item = (OrgRule, Vec<KeyHash>)>,
     ) -> Result<Self, OrgsError> {
--- a/crates/gateway/src/peer_requests.rs
+++ b/crates/gateway/src/peer_requests.rs
@@ -106,7 +106,7 @@
     }
 
     /// Processes a daemon's report of its open requests; returns those that ended without a message
-    /// about it.
+    /// about their end.
     pub(crate) fn on_open(
         &mut self,
         incarnation: u64,
--- a/crates/gateway/src/planner.rs
+++ b/crates/gateway/src/planner.rs
@@ -31,7 +31,8 @@
 /// The interval at which a planner logs the knowledge that it plans by.
 const KNOWLEDGE_LOG_MS: u64 = 2_000;
 
-/// The least demand that counts for an adapter that a request waits for, in milliseconds a second.
+/// The lower limit of the demand counted for an adapter that a request waits for, in milliseconds a
+/// second.
 const WANTED_RATE: f32 = 1.0;
 
 /// The state of the planner, and the engines that are being queried or ordered.
--- a/crates/gateway/src/read_progress.rs
+++ b/crates/gateway/src/read_progress.rs
@@ -269,8 +269,8 @@
         self.followed.incarnation != 0
     }
 
-    /// The incarnation of the followed daemon and the last number that it sent, to be compared
-    /// after a read.
+    /// The incarnation of the followed daemon and the number of the last message of changes that it
+    /// reported as sent, to be compared after a read.
     pub(crate) fn followed_position(&self) -> (u64, u64) {
         (self.followed.incarnation, self.followed.last_sent)
     }
--- a/crates/gateway/src/ready.rs
+++ b/crates/gateway/src/ready.rs
@@ -3,9 +3,9 @@
 //! It should once it knows a configuration and the upstreams, and until it stops. A daemon that
 //! stalled may have missed a version in the meantime: it learns of it only after several rounds of
 //! its tasks, each of which may be as late. It takes no work until its configuration is confirmed
-//! as the newest again. A daemon that did not stall and receives nothing is cut off. If it is cut
-//! off from the store, no other daemon there can have a version accepted that it should know; if it
-//! is cut off from all other daemons as well, it continues with its configuration, which serves its
+//! as the newest again. A daemon that did not stall and receives nothing is cut off: either from
+//! the store, where nobody else can then have a version accepted that it should know, or from all
+//! other daemons as well. In both cases it continues with its configuration, which serves its
 //! callers better than refusing them.
 
 use crate::admission::ConfigAge;
--- a/crates/gateway/src/refuse.rs
+++ b/crates/gateway/src/refuse.rs
@@ -86,7 +86,7 @@
 /// that it did not.
 pub(crate) fn after_routing(gw: &Gateway, job: &Job, permit: &Permit, refusal: Refusal) -> Reply {
     let refusal = match (permit.reached, refusal.kind.answer().outcome) {
-        // Attempts of other daemons may have run.
+        // Other copies of the request may have run, whatever this one reached.
         _ if refusal.kind == ErrorKind::EndsUpstreams => refusal,
         (0, Outcome::Unknown) => Refusal::new(ErrorKind::NoUpstream),
         (1.., Outcome::NotRun) => Refusal::new(ErrorKind::UpstreamFailed),
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,7 +1,7 @@
 //! A caller's request, from its first byte to its answer.
 //!
-//! [`Callers::handle`] admits it, `job` decides its waiting time and priority, `attempt` sends it,
-//! `relay` passes a stream on, and `refuse` answers if no upstream did.
+//! Read in this order: [`Callers::handle`] admits it, `job` decides its waiting time and priority,
+//! `attempt` sends it, `relay` passes a stream on, and `refuse` answers if no upstream did.
 
 use crate::attempt::{self, Outcome};
 use crate::job::Job;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -135,9 +135,9 @@
     }
 }
 
-/// Runs the periodic work once, at most `interval` milliseconds after the previous run. Expired
-/// upstreams come first: after a stall or a suspension no request may be sent to an upstream whose
-/// removal should have taken effect in the meantime.
+/// Runs the periodic work once, at most `interval` milliseconds after the previous run. Removals
+/// that are due come first: after a stall or a suspension no request may be sent to an upstream
+/// whose removal should have taken effect in the meantime.
 pub(crate) fn run_tick(gw: &Gateway, interval: u64) {
     gw.stall_detector.borrow_mut().on_tick(interval, gw.now());
     let changes = gw.roster.borrow_mut().tick(gw.now());
--- a/crates/gateway/src/store_health.rs
+++ b/crates/gateway/src/store_health.rs
@@ -11,7 +11,7 @@
 /// lost the store together do not retry together. It doubles with each further failure.
 const BACKOFF_MS: u64 = 150;
 
-/// The number of doublings: the backoff reaches 1.2 to 2.4 s, within the time that the platform
+/// The most doublings: the backoff then takes 1.2 to 2.4 s, within the time that the platform
 /// gives its store to recover.
 const MAX_DOUBLINGS: u32 = 3;
 
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Waits after a failed call until `done` holds. Daemons with `hub` set read for others and
-    /// wait the shortest time; for the others the wait grows with the number of failed calls.
+    /// Waits for the backoff after a failed call, or less if `done` holds before. Daemons with
+    /// `hub` set read for others and wait the shortest time; for the others the wait grows with the
+    /// number of failed calls.
     pub(crate) async fn back_off(&self, gw: &Gateway, hub: bool, done: impl Fn() -> bool) {
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let min_wait = if hub {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -16,7 +16,7 @@
 use shaleline_types::{ErrorKind, Fingerprint, Identity, LogEvent};
 use std::net::SocketAddr;
 
-/// The number of notes in a datagram; one has about seventy bytes.
+/// The most notes in a datagram; one has about seventy bytes.
 const NOTES_PER_DATAGRAM: usize = 12;
 
 /// The shortest interval between two exchanges of notes after differing digests. New notes are sent
@@ -41,7 +41,7 @@
     }
 
     /// Records that an upstream crashed during a request of this daemon, and reports it to the
-    /// hubs. The daemon that selected the upstream learns how the send ended.
+    /// hubs. The daemon that selected the upstream learns how the attempt ended.
     pub(crate) fn record_crash(&self, identity: Identity, sent: &SentAttempt) {
         let note = CrashNote {
             identity,
