--- a/crates/daemon/src/forward.rs
+++ b/crates/daemon/src/forward.rs
@@ -67,5 +67,5 @@
     Some(response.body(body))
 }
 
-/// The error code of a daemon that is stopping and did not run the call.
+/// The error code of a daemon that is stopping. It did not run the call, so this daemon may.
 const LEAVING: &[u8] = b"\"leaving\"";
--- a/crates/daemon/src/generation.rs
+++ b/crates/daemon/src/generation.rs
@@ -71,7 +71,7 @@
     Complete,
     /// The send ended otherwise; the router decides how to continue.
     Ended(AttemptEnd),
-    /// The router abandoned this attempt and sends another.
+    /// The router abandoned this attempt and has sent or will send another.
     Superseded,
     /// The caller left.
     CallerLeft,
--- a/crates/daemon/src/keyed.rs
+++ b/crates/daemon/src/keyed.rs
@@ -27,8 +27,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long a holder must be gone before its key is considered lost: longer than the delay of a
-/// heartbeat.
+/// How long a holder must be gone before its key is considered lost. This is longer than a
+/// heartbeat may be delayed.
 const HOLDER_GRACE: Duration = Duration::from_secs(5);
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -3,7 +3,7 @@
 //! An instance may be suspended for seconds. The monotonic clock and all timers exclude that time,
 //! so the age of everything that a daemon holds would be too low by the length of the suspension
 //! while other daemons continue. This clock therefore uses the kernel's boot time, which includes
-//! suspensions, and wakes sleeping tasks when the two clocks are found to diverge.
+//! suspensions, and wakes sleeping tasks when a periodic check finds that the two clocks diverged.
 
 use nix::time::{clock_gettime, ClockId};
 use shaleline_types::Millis;
--- a/crates/edge/src/listener.rs
+++ b/crates/edge/src/listener.rs
@@ -22,7 +22,8 @@
 /// The connections that may wait to be accepted, sized for bursts of callers.
 const BACKLOG: u32 = 1_024;
 
-/// The interval at which a connection is checked for its idle timeout.
+/// The interval at which a connection is checked for its idle timeout, so that it is closed soon
+/// after the timeout.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The delay after a failed accept. File descriptors are exhausted then, and an immediate
--- a/crates/lease/src/keeper.rs
+++ b/crates/lease/src/keeper.rs
@@ -28,7 +28,7 @@
 pub struct Keeper {
     writer: WriterId,
     instance: Instance,
-    awaiting_verdict_since: Option<Millis>,
+    pending_since: Option<Millis>,
     challenge: Option<(Offset, Millis)>,
 }
 
@@ -39,7 +39,7 @@
         Self {
             writer,
             instance,
-            awaiting_verdict_since: None,
+            pending_since: None,
             challenge: None,
         }
     }
@@ -47,13 +47,13 @@
     /// The record to append now, if any.
     pub fn step(&mut self, input: KeeperInput<'_>, now: Millis) -> Option<LeaseBody> {
         if self
-            .awaiting_verdict_since
+            .pending_since
             .is_some_and(|since| now.since(since) < VERDICT_TIMEOUT.0)
         {
             return None;
         }
         let body = self.decide(input, now)?;
-        self.awaiting_verdict_since = Some(now);
+        self.pending_since = Some(now);
         Some(body)
     }
 
@@ -92,7 +92,7 @@
 
     /// Handles the verdict on the record that [`Keeper::step`] returned last.
     pub fn on_verdict(&mut self, verdict: LeaseVerdict, now: Millis) {
-        self.awaiting_verdict_since = None;
+        self.pending_since = None;
         self.challenge = match verdict {
             LeaseVerdict::Challenged(offset) => Some((offset, now)),
             _ => None,
--- a/crates/log/src/record.rs
+++ b/crates/log/src/record.rs
@@ -35,7 +35,7 @@
     pub(crate) v: u16,
 }
 
-/// The order in which records are appended when the append budget is exhausted.
+/// The order in which queued records are appended, which matters when the append budget is short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// A record of the at-most-once journal, for which a caller waits.
--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -216,7 +216,8 @@
         }
     }
 
-    /// Handles the outcome of the last append. The batch is appended again under the same
+    /// Handles the outcome of the last append. If the batch is the next in the log, it is applied
+    /// at once. Otherwise, for example without an answer, it is appended again under the same
     /// identities, with exponential backoff, until it is read back.
     pub fn on_append(&mut self, now: Millis, result: AppendOutcome) {
         let Some(batch) = self.in_flight.as_mut() else {
@@ -344,7 +345,7 @@
     }
 
     /// Replaces the state by the snapshot's if the snapshot covers more records, and returns
-    /// whether it did. This also clears a halt by a gap.
+    /// whether it did. If it did, a halt by a gap is cleared.
     pub fn restore(&mut self, snapshot: &Snapshot) -> bool {
         self.record_snapshot(snapshot.covers());
         let is_newer = snapshot.covers() > self.next() || !Safeguard::SnapshotChoice.is_active();
--- a/crates/log/src/state.rs
+++ b/crates/log/src/state.rs
@@ -7,8 +7,8 @@
 use shaleline_types::{Millis, Offset, Safeguard, WriterId};
 use std::collections::BTreeMap;
 
-/// How many records after its last one a writer is remembered. Duplicates are not detected if a
-/// lost append takes effect later than this (`docs/LOG.md`).
+/// A writer is remembered until this many records after its last one. If a lost append takes
+/// effect later than this, duplicates are not detected (`docs/LOG.md`).
 const WRITER_WINDOW_RECORDS: u64 = 200_000;
 
 /// The largest step by which one record's clock may advance the stream's time, so that one wrong
--- a/crates/once/src/attempt.rs
+++ b/crates/once/src/attempt.rs
@@ -40,7 +40,7 @@
 pub enum AttemptAction {
     /// Append this record and report the verdict.
     Append(OnceBody),
-    /// Send the request, exactly once.
+    /// Send the request now, and never again for this attempt.
     Send,
     /// Watch the key, which this writer holds, until its attempt ends.
     Watch(WriterId),
@@ -61,7 +61,8 @@
     AwaitingVerdict,
     Sending,
     Watching,
-    /// The caller has its answer. A `begun` record that is appended now has no effect.
+    /// The caller was told that the request did not run. A `begun` record that is appended after
+    /// that is abandoned: the request is not sent.
     Abandoned,
     Done,
 }
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -6,7 +6,8 @@
 use shaleline_types::{Millis, Offset, RequestId, Safeguard, WriterId};
 use std::collections::BTreeMap;
 
-/// The largest answer body that is kept. A larger body is dropped from the journal.
+/// The largest answer body that is kept. Of an answer with a larger body, the journal keeps only
+/// the status and the content type.
 pub const MAX_KEPT_BODY_BYTES: usize = 4_096;
 
 /// The limits of a shard.
--- a/crates/peer/src/members.rs
+++ b/crates/peer/src/members.rs
@@ -389,7 +389,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Returns all daemons that are alive and not leaving, including this one.
+    /// Returns all daemons that are alive and not leaving, including this one unless it is leaving.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         let local = (!self.local.leaving).then_some(&self.local);
         let others = self
