--- a/crates/daemon/src/bin/shalelined.rs
+++ b/crates/daemon/src/bin/shalelined.rs
@@ -90,7 +90,7 @@
 
 /// Applies changes of the settings file, on a hangup signal and periodically.
 async fn follow_settings(running: &Running, path: &str, mut node: NodeFile) -> Result<()> {
-    let mut hangup = signal(SignalKind::hangup()).wrap_err("can't install a signal handler")?;
+    let mut hangup = signal(SignalKind::hangup()).wrap_err("signals")?;
     let mut refused = String::new();
     loop {
         tokio::select! {
@@ -116,10 +116,8 @@
 
 /// Waits for a signal that requests a planned stop.
 async fn wait_for_signal() -> Result<()> {
-    let mut terminate =
-        signal(SignalKind::terminate()).wrap_err("can't install a signal handler")?;
-    let mut interrupt =
-        signal(SignalKind::interrupt()).wrap_err("can't install a signal handler")?;
+    let mut terminate = signal(SignalKind::terminate()).wrap_err("signals")?;
+    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("signals")?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
